--- a/crates/cross-zone-traffic/src/cross_zone_admission/mod.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/mod.rs
@@ -1,9 +1,11 @@
-//! Admission of sessions that cross between zones: which may start, which are capped, and in which order caps are lifted.
+//! Admission of sessions whose server is in another zone than their viewer: which may start, which are capped at their
+//! lowest rung, and in which order caps are lifted.
 //!
-//! The placement module chooses the server and rung of a request; this module states how it may choose from other zones.
-//! Paid sessions have priority over the budget: they cross when their own zone can't serve them, and the overdraft is
-//! counted with its cause. Previews repay it: they stay in their own zone, or at their lowest rung, until the debt has
-//! drained. After a bounded time the rest of the overdraft is written off.
+//! The placement module chooses the server and rung of each request. This module tells it, by a [`CrossZonePolicy`] for
+//! each zone and class, whether it may choose servers of other zones. Paid sessions have priority over the budget: they
+//! cross when their own zone can't serve them, even if the budget is exhausted, and the overdraft is recorded with its
+//! cause. Previews repay the overdraft: they stay in their own zone, or at their lowest rung, until the debt has drained.
+//! Overdraft that is not repaid within a bounded time is written off.
 mod budget_pool;
 mod crossing_session;
 mod policies;
@@ -14,7 +16,8 @@
 
 pub use crankpaddle::CrossZonePolicy;
 pub use types::{
-    BudgetStatus, CrossZoneLimit, OverdraftCause, PolicyChange, RateCapChanges, SessionStart,
+    BudgetStatus, CrossZoneLimit, CrossingSessionStart, OverdraftCause, PolicyChange,
+    RateCapChanges,
 };
 
 use crate::budget::FrontPosition;
@@ -26,30 +29,33 @@
 use policies::ZoneClass;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Weight of a session that ended in the mean session length.
+/// Weight of each ended session in the moving average of session lengths.
 const SESSION_LENGTH_WEIGHT: f64 = 0.05;
-/// The shortest length that is assumed of a session.
+/// Lower bound of session lengths, which determine the bytes to reserve.
 const MIN_SESSION_SECONDS: f64 = 0.1;
 
-/// The traffic of one front, whose viewers are in one zone, from other zones.
+/// Decides for one front, all of whose viewers are in one zone, which sessions may be served from other zones.
 #[derive(Clone, Debug)]
 pub struct CrossZoneAdmission {
-    /// By class: whether it has priority over budgets.
+    /// Whether each class has priority over budgets, indexed by class number.
     paid_classes: Vec<bool>,
     pools: BTreeMap<BudgetKey, BudgetPool>,
+    /// The sessions that cross under a budget, by session id.
     sessions: BTreeMap<u64, CrossingSession>,
-    /// By the zone of the servers.
+    /// Reports of the servers, by the zone of the servers.
     usage_reports: BTreeMap<u8, UsageReports>,
-    /// Servers that are up, by zone.
+    /// The servers that are up, by zone.
     servers_up: BTreeMap<u8, BTreeSet<u32>>,
-    /// The policies that were last returned as changes.
+    /// The policies as last returned by [`CrossZoneAdmission::policy_changes`].
     notified_policies: BTreeMap<ZoneClass, CrossZonePolicy>,
     mean_session_seconds: f64,
 }
 
 impl CrossZoneAdmission {
-    /// `paid_classes`: for each class whether it has priority over budgets. A zone without a budget is unlimited.
-    /// `mean_session_seconds`: assumed until sessions have ended.
+    /// Creates the admission of a front without sessions.
+    ///
+    /// `paid_classes` tells for each class whether it has priority over budgets. Traffic from zones without a budget is
+    /// unlimited. `mean_session_seconds` is the initial value of the mean session length.
     #[must_use]
     pub fn new(
         paid_classes: Vec<bool>,
@@ -70,8 +76,8 @@
         admission
     }
 
-    /// Changes the budgets and the position; sessions and debt stay. A zone that has no budget any more is unlimited;
-    /// sessions to which another budget applies from now on are counted there.
+    /// Changes the budgets and the position; sessions and debt are kept. A zone that no longer has a budget becomes
+    /// unlimited. Sessions to which another budget applies from now on are counted there.
     pub fn reconfigure(&mut self, limits: &[CrossZoneLimit], position: FrontPosition) {
         let configured: BTreeSet<BudgetKey> = limits.iter().map(BudgetKey::from).collect();
         self.pools.retain(|key, _| configured.contains(key));
@@ -84,7 +90,8 @@
         }
     }
 
-    /// The budget that applies to a class: its own, or that of the zone.
+    /// The budget that applies to a class: the one for this class alone, else the general one of the zone. `None` if the
+    /// class is unlimited.
     fn budget_key(&self, zone: u8, class: u8) -> Option<BudgetKey> {
         [Some(class), None]
             .map(|class| BudgetKey { zone, class })
@@ -114,16 +121,17 @@
             .unwrap_or(false)
     }
 
-    /// The debt of a budget divided by its burst; 0 where there is no budget.
+    /// The debt of a budget divided by its burst tolerance; 0 if the budget does not exist.
     fn budget_level(&mut self, now: Time, key: BudgetKey) -> f64 {
         self.pools
             .get_mut(&key)
             .map_or(0.0, |pool| pool.budget.level(now))
     }
 
-    /// A session starts to cross; returns the bytes that were reserved beyond its budget.
-    pub fn session_started(&mut self, now: Time, start: SessionStart) -> f64 {
-        if self.sessions.contains_key(&start.session) {
+    /// Handles the start of a session that crosses zones: reserves the bytes that it is expected to send. Returns the bytes
+    /// that were reserved beyond its budget; 0 if it conforms, is already known or is unlimited.
+    pub fn session_started(&mut self, now: Time, start: CrossingSessionStart) -> f64 {
+        if self.sessions.contains_key(&start.session_id) {
             return 0.0;
         }
         let Some(key) = self.budget_key(start.from, start.class) else {
@@ -154,19 +162,20 @@
             is_capped: false,
             overdraft_cause: (overdrawn_bytes > 0.0).then_some(start.overdraft_cause),
         };
-        self.sessions.insert(start.session, session);
+        self.sessions.insert(start.session_id, session);
         overdrawn_bytes
     }
 
-    /// Whether a budget is for a paid class alone.
+    /// Whether a budget applies to a single class, and that class is paid.
     fn is_paid_budget(&self, key: BudgetKey) -> bool {
         key.class.is_some_and(|class| self.is_paid(class))
     }
 
-    /// Charges the overdraft of a paid class with a budget of its own to the budgets of the zone's other classes.
+    /// Distributes the overdraft of a budget for one paid class evenly among the zone's budgets that include other classes,
+    /// because paid sessions are never held back to repay it.
     fn charge_other_budgets(&mut self, now: Time, overdrawn: BudgetKey, bytes: f64) {
         if !self.is_paid_budget(overdrawn) {
-            return; // The classes that repay are under the same budget.
+            return; // The other classes, which repay the overdraft, share this budget.
         }
         let repaying: Vec<BudgetKey> = self
             .budget_keys()
@@ -175,21 +184,22 @@
             .collect();
         for key in &repaying {
             if let Some(pool) = self.pools.get_mut(key) {
-                pool.budget.charge(now, bytes / repaying.len() as f64);
+                pool.budget
+                    .charge_overdraft(now, bytes / repaying.len() as f64);
             }
         }
     }
 
-    /// The rate of a session changed.
+    /// Handles a change of a session's rate.
     pub(crate) fn rate_changed(&mut self, now: Time, session: u64, rate_kb: f64) {
         let Some(session) = self.sessions.get_mut(&session) else {
             return;
         };
         let pool = self.pools.get_mut(&session.budget);
-        session.continue_at(rate_kb, now, self.mean_session_seconds, pool);
+        session.update_rate(rate_kb, now, self.mean_session_seconds, pool);
     }
 
-    /// A session ended.
+    /// Handles the end of a session: corrects its reservation to the bytes that it sent.
     pub fn session_ended(&mut self, now: Time, session: u64) {
         let Some(session) = self.sessions.remove(&session) else {
             return;
@@ -197,17 +207,17 @@
         let seconds = session.age_seconds(now).max(MIN_SESSION_SECONDS);
         self.mean_session_seconds += SESSION_LENGTH_WEIGHT * (seconds - self.mean_session_seconds);
         if let Some(pool) = self.pools.get_mut(&session.budget) {
-            pool.correct(now, &session, session.sent_bytes_by(now));
+            pool.correct_reservation(now, &session, session.sent_bytes_by(now));
         }
     }
 
-    /// Replaces the servers of a zone that are up.
-    pub fn update_servers(&mut self, zone: u8, servers: BTreeSet<u32>) {
+    /// Replaces the set of servers of a zone that are up.
+    pub fn set_servers_up(&mut self, zone: u8, servers: BTreeSet<u32>) {
         self.servers_up.insert(zone, servers);
     }
 
-    /// A server reports what it sends to this front's zone for all fronts, kB a second by class; `at`: the time that the
-    /// report describes.
+    /// Handles a server's report of what it sends to this front's zone for the sessions of all fronts, in kB per second by
+    /// class. `at` is the time to which the report refers.
     pub fn usage_reported(
         &mut self,
         zone: u8,
@@ -221,17 +231,17 @@
             .record(server, at, rate_kb_by_class);
     }
 
-    /// A server is lost: it sends nothing until it reports again.
+    /// Handles the loss of a server, which sends nothing until it reports again.
     pub(crate) fn server_lost(&mut self, zone: u8, server: u32) {
         self.usage_reports
             .entry(zone)
             .or_default()
-            .server_removed(server);
+            .remove_server(server);
         self.servers_up.entry(zone).or_default().remove(&server);
     }
 
-    /// Charges the bytes sent since the previous call, updates the quotas, and returns which sessions are to be capped or
-    /// uncapped; call it about once a second.
+    /// Charges the bytes sent since the previous call, updates the quotas, and returns the sessions to cap or uncap. Must be
+    /// called about once a second.
     pub fn tick(&mut self, now: Time) -> RateCapChanges {
         let rate_by_budget = self.charge_sessions(now);
         self.update_quotas(now, &rate_by_budget);
--- a/crates/cross-zone-traffic/src/cross_zone_admission/policies.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/policies.rs
@@ -1,9 +1,9 @@
-//! How classes may be served from other zones, and changes of that.
+//! The policies for serving classes from other zones, and their changes.
 use super::types::PolicyChange;
 use super::{CrossZoneAdmission, CrossZonePolicy};
 use crankpaddle_time::Time;
 
-/// Classes are numbered in a byte.
+/// Classes are numbered by a `u8`.
 const MAX_CLASSES: usize = 256;
 
 /// A zone and a class that may be served from it.
@@ -14,13 +14,13 @@
 }
 
 impl CrossZoneAdmission {
-    /// How a class may be served from a zone now.
+    /// The current policy for serving a class from a zone.
     pub fn policy(&mut self, now: Time, zone: u8, class: u8) -> CrossZonePolicy {
         let key = self.budget_key(zone, class);
         let Some(pool) = key.and_then(|key| self.pools.get_mut(&key)) else {
             return CrossZonePolicy::Allowed;
         };
-        if !pool.update_shortage(now) && pool.budget.conforms(now, 0.0) {
+        if !pool.update_exhaustion(now) && pool.budget.conforms(now, 0.0) {
             return CrossZonePolicy::Allowed;
         }
         if self.is_paid(class) {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The policies that changed since the previous call. Call it before requests are placed.
+    /// Returns the policies that changed since the previous call. The caller must apply them before it places requests.
     pub fn policy_changes(&mut self, now: Time) -> Vec<PolicyChange> {
         let mut changes = Vec::new();
         for key in self.policies_to_check() {
@@ -48,7 +48,8 @@
         changes
     }
 
-    /// Each class of each zone that has a budget, then the notified classes of zones that have none any more.
+    /// All classes of zones that have a budget, followed by the classes of zones that no longer have one but of which a
+    /// policy was returned before.
     fn policies_to_check(&self) -> Vec<ZoneClass> {
         let zones = self.budgeted_zones();
         let class_count = self.paid_classes.len().min(MAX_CLASSES) as u16;
--- a/crates/cross-zone-traffic/src/cross_zone_admission/quotas.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/quotas.rs
@@ -1,15 +1,15 @@
-//! This front's quota of each budget, from its own usage and the reports of servers.
+//! Updates this front's quota of each budget from the front's own usage and the reports of servers.
 use super::budget_pool::{BudgetKey, BudgetPool};
 use super::{CrossZoneAdmission, CrossZonePolicy};
 use crate::quota_share::{ObservedUsage, UsageReports};
 use crankpaddle_time::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The least rate that usage is divided by, kB a second; a budget may be 0.
+/// Lower bound of the divisor when usage is divided by a budget's rate, in kB per second, because that rate may be 0.
 const MIN_BUDGET_RATE_KB: f64 = 1e-9;
 
 impl CrossZoneAdmission {
-    /// A request of a class arrived: where a budget holds it back, this front has demand for more of that budget.
+    /// Handles the arrival of a request: records demand for each budget that does not allow its class to cross freely.
     pub fn session_requested(&mut self, now: Time, class: u8) {
         for zone in self.budgeted_zones() {
             if self.policy(now, zone, class) == CrossZonePolicy::Allowed {
@@ -17,17 +17,17 @@
             }
             let key = self.budget_key(zone, class);
             if let Some(pool) = key.and_then(|key| self.pools.get_mut(&key)) {
-                pool.quota_share.request_more(now);
+                pool.adaptive_quota.record_demand(now);
             }
         }
     }
 
-    /// Zones whose servers' reports this front needs now: it has demand for more than its quota of a budget, or holds more
-    /// than an equal one.
+    /// The zones from which this front needs the usage reports of every server: those with a budget for which it has demand,
+    /// or of which its quota is larger than an equal one.
     #[must_use]
     pub fn zones_observed(&self, now: Time) -> BTreeSet<u8> {
         let needs_reports = |pool: &BudgetPool| {
-            pool.quota_share.has_demand(now) || pool.quota_share.exceeds_equal_quota()
+            pool.adaptive_quota.has_demand(now) || pool.adaptive_quota.exceeds_equal_quota()
         };
         self.pools
             .iter()
@@ -36,23 +36,24 @@
             .collect()
     }
 
-    /// Charges each session for the bytes that it sent, and sums the rates, kB a second, by budget.
+    /// Charges each session for the bytes that it has sent. Returns the sum of the sessions' rates by budget, in kB per
+    /// second.
     ///
-    /// Why not only at the end of a session: sessions that end early return a part of their reservation at once, while long
-    /// ones would be charged for the rest only when they end, and until then all fronts together would exceed the budget
-    /// (by a third, measured in a test).
+    /// Charging only at the end of a session would exceed the budget: sessions that end early return a part of their
+    /// reservation at once, while long ones would be charged for the bytes beyond their reservation only when they end. In
+    /// a test, all fronts together exceeded the budget by a third.
     pub(super) fn charge_sessions(&mut self, now: Time) -> BTreeMap<BudgetKey, f64> {
         let mut rate_by_budget: BTreeMap<BudgetKey, f64> = BTreeMap::new();
-        // One pass over all sessions: this runs between players' requests and their responses.
+        // A single pass over all sessions, because requests of players wait while this runs.
         for session in self.sessions.values_mut() {
             let pool = self.pools.get_mut(&session.budget);
-            session.continue_at(session.rate_kb, now, self.mean_session_seconds, pool);
+            session.update_rate(session.rate_kb, now, self.mean_session_seconds, pool);
             *rate_by_budget.entry(session.budget).or_default() += session.rate_kb;
         }
         rate_by_budget
     }
 
-    /// Updates this front's quota of each budget.
+    /// Updates this front's quota of each budget; `rate_by_budget` is its own usage in kB per second.
     pub(super) fn update_quotas(&mut self, now: Time, rate_by_budget: &BTreeMap<BudgetKey, f64>) {
         for key in self.budget_keys() {
             let all_fronts = self.usage_of_all_fronts(now, key);
@@ -66,12 +67,12 @@
                 usage: observed.usage / budget_rate_kb,
             });
             let own_usage = own_rate_kb / budget_rate_kb;
-            let quota = pool.quota_share.update(now, own_usage, all_fronts);
+            let quota = pool.adaptive_quota.update(now, own_usage, all_fronts);
             pool.budget.set_quota(now, quota);
         }
     }
 
-    /// What crosses under a budget for all fronts, kB a second; `None` where a server that is up has no recent report.
+    /// Usage of a budget by all fronts, in kB per second; `None` if a server that is up has no recent report.
     fn usage_of_all_fronts(&self, now: Time, key: BudgetKey) -> Option<ObservedUsage> {
         let applies_to = |class: u8| self.budget_key(key.zone, class) == Some(key);
         let servers = self
--- a/crates/cross-zone-traffic/src/cross_zone_admission/rate_caps.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/rate_caps.rs
@@ -1,21 +1,23 @@
-//! Rate caps: which sessions are held at their lowest rung to relieve a budget, and in which order caps are lifted.
-use super::budget_pool::{BudgetKey, SHORT_LEVEL};
+//! Rate caps: which sessions are held at their lowest rung to reduce the debt of a budget, and in which order caps are
+//! lifted.
+use super::budget_pool::{BudgetKey, EXHAUSTED_LEVEL};
 use super::types::RateCapChanges;
 use super::CrossZoneAdmission;
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// Over this level previews that cross are capped. Overdrafts of paid sessions and reduced quotas cause it.
-const RELIEF_LEVEL: f64 = 1.5;
-/// Up to this level caps are lifted, one at each tick, that of the cheapest session first.
-const RESTORE_LEVEL: f64 = 0.6;
-/// Time between two reliefs of a budget: the effect of a cap must first show.
-const RELIEF_INTERVAL: Duration = Duration::from_secs(2);
+/// Above this level, previews that cross are capped. The level gets there by overdrafts of paid sessions, or when the
+/// front's quota is reduced.
+const CAP_LEVEL: f64 = 1.5;
+/// At or below this level, one cap is lifted at each tick, starting with the session that has the lowest uncapped rate.
+const UNCAP_LEVEL: f64 = 0.6;
+/// Minimum time between two rounds of caps for a budget, so that the first round takes effect before the next.
+const MIN_CAP_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A session that may be capped.
 struct CapCandidate {
-    session: u64,
-    /// What the cap saves, kB a second.
+    session_id: u64,
+    /// Rate that the cap saves, in kB per second.
     saving_kb: f64,
 }
 
@@ -30,38 +32,38 @@
         changes
     }
 
-    /// Caps previews, the most expensive first, until the debt is within the burst.
+    /// Caps previews, those with the largest saving first, until the debt is within the burst.
     fn cap_sessions(&mut self, now: Time, key: BudgetKey, changes: &mut RateCapChanges) {
         let Some(pool) = self.pools.get_mut(&key) else {
             return;
         };
-        let next_relief = pool.last_relief + RELIEF_INTERVAL;
-        if pool.budget.level(now) <= RELIEF_LEVEL || now < next_relief {
+        let next_cap_at = pool.last_capped_at + MIN_CAP_INTERVAL;
+        if pool.budget.level(now) <= CAP_LEVEL || now < next_cap_at {
             return;
         }
-        pool.last_relief = now;
+        pool.last_capped_at = now;
         for candidate in self.cap_candidates(key) {
-            if self.budget_level(now, key) <= SHORT_LEVEL {
+            if self.budget_level(now, key) <= EXHAUSTED_LEVEL {
                 return;
             }
-            self.cap(now, candidate.session);
-            changes.cap.push(candidate.session);
+            self.cap(now, candidate.session_id);
+            changes.cap.push(candidate.session_id);
         }
     }
 
-    /// Sessions under a budget that may be capped, the most expensive first.
+    /// The sessions under a budget that may be capped, those with the largest saving first.
     fn cap_candidates(&self, key: BudgetKey) -> Vec<CapCandidate> {
         let mut candidates: Vec<CapCandidate> = self
             .sessions_of(key)
             .filter(|(_, session)| !session.is_paid && session.rate_kb > session.lowest_rate_kb)
             .map(|(id, session)| CapCandidate {
-                session: id,
+                session_id: id,
                 saving_kb: session.rate_kb - session.lowest_rate_kb,
             })
             .collect();
         candidates.sort_by(|left, right| {
-            let most_expensive_first = right.saving_kb.total_cmp(&left.saving_kb);
-            most_expensive_first.then(left.session.cmp(&right.session))
+            let largest_saving_first = right.saving_kb.total_cmp(&left.saving_kb);
+            largest_saving_first.then(left.session_id.cmp(&right.session_id))
         });
         candidates
     }
@@ -75,9 +77,9 @@
         }
     }
 
-    /// Lifts the cap of the session whose rate before it was the lowest.
+    /// Lifts the cap of the capped session whose uncapped rate is the lowest.
     fn uncap_cheapest(&mut self, now: Time, key: BudgetKey, changes: &mut RateCapChanges) {
-        if self.budget_level(now, key) > RESTORE_LEVEL {
+        if self.budget_level(now, key) > UNCAP_LEVEL {
             return;
         }
         let cheapest = self
--- a/crates/cross-zone-traffic/src/cross_zone_admission/status.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/status.rs
@@ -5,7 +5,7 @@
 use crankpaddle_time::Time;
 
 impl CrossZoneAdmission {
-    /// The state of each budget.
+    /// The current state of each budget, ordered by zone and class.
     pub fn budget_statuses(&mut self, now: Time) -> Vec<BudgetStatus> {
         self.budget_keys()
             .into_iter()
@@ -35,13 +35,13 @@
         })
     }
 
-    /// kB a second that the paid, or the other, sessions under a budget send now.
+    /// Current rate of the paid or of the other sessions under a budget, in kB per second.
     fn crossing_rate_kb(&self, key: BudgetKey, is_paid: bool) -> f64 {
         let rate_kb: f64 = self
             .sessions_of(key)
             .filter(|(_, session)| session.is_paid == is_paid)
             .map(|(_, session)| session.rate_kb)
             .sum();
-        rate_kb + 0.0 // The sum of nothing is -0.0, which reports must not show.
+        rate_kb + 0.0 // An empty sum of floats is -0.0, which reports must not show.
     }
 }
--- a/crates/cross-zone-traffic/src/quota_share/tests.rs
+++ b/crates/cross-zone-traffic/src/quota_share/tests.rs
@@ -10,13 +10,13 @@
 
 #[test]
 fn a_quota_grows_only_with_demand_and_reports_and_falls_at_once() {
-    let mut share = QuotaShare::new(0.1);
+    let mut share = AdaptiveQuota::new(0.1);
     assert_eq!(
         share.update(at(1), 0.1, observed(at(1), 0.1)),
         0.1,
         "there is no demand"
     );
-    share.request_more(at(1));
+    share.record_demand(at(1));
     let first = share.update(at(1), 0.1, observed(at(1), 0.1));
     assert!(first > 0.1 && first < 0.11, "{first}");
     assert_eq!(
@@ -25,7 +25,7 @@
         "without reports an equal quota"
     );
     for step in 2..600 {
-        share.request_more(at(step));
+        share.record_demand(at(step));
         let own = share.quota;
         share.update(at(step), own, observed(at(step), own));
     }
@@ -64,8 +64,8 @@
         let grown: f64 = uses
             .iter()
             .map(|own| {
-                let mut share = QuotaShare::new(equal);
-                share.request_more(at(1));
+                let mut share = AdaptiveQuota::new(equal);
+                share.record_demand(at(1));
                 share.update(at(1), *own, observed(at(1), all)) - equal
             })
             .sum();
@@ -97,7 +97,7 @@
         None,
         "too old"
     );
-    reports.server_removed(1);
+    reports.remove_server(1);
     assert_eq!(
         reports.total(at(14), [2].into_iter(), |_| true),
         observed(at(11), 11.0)
--- a/crates/cross-zone-traffic/src/report/build.rs
+++ b/crates/cross-zone-traffic/src/report/build.rs
@@ -1,4 +1,4 @@
-//! Builds the report of a front from its traffic controller.
+//! Builds a front's report from its traffic controller.
 use super::names::purpose_name;
 use super::types::{BudgetReport, ByteTotals, FlowReport, TrafficReport};
 use super::{to_milliseconds, TrafficNames};
@@ -10,7 +10,8 @@
 use std::collections::BTreeMap;
 
 impl TrafficReport {
-    /// The report of a front in a zone.
+    /// Creates the report of a front. `zone` is the zone of the front, and `names` are the names that the report contains
+    /// instead of numbers.
     pub fn of(
         controller: &mut TrafficController,
         front: u32,
--- a/crates/cross-zone-traffic/src/report/merge.rs
+++ b/crates/cross-zone-traffic/src/report/merge.rs
@@ -1,8 +1,8 @@
-//! Merges the reports of many fronts into one.
+//! Merges the reports of several fronts into one.
 use super::types::{BudgetReport, ByteTotals, FlowReport, TrafficReport};
 use std::collections::btree_map::{BTreeMap, Entry};
 
-/// The names of a flow, in the order that merged flows are listed in.
+/// Identifies a flow by its names. Merged flows are listed in the order of these fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct FlowNames {
     from: String,
@@ -26,7 +26,7 @@
     }
 }
 
-/// The names of a budget, in the order that merged budgets are listed in.
+/// Identifies a budget by its names. Merged budgets are listed in the order of these fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct BudgetNames {
     from: String,
@@ -44,8 +44,8 @@
     }
 }
 
-/// Merges reports of many fronts into one. Of a front with several reports, such as its own and its saved one, only the
-/// latest counts.
+/// Merges the reports of several fronts into one. If there are several reports of a front, such as a fetched and a saved one,
+/// only the latest one is used.
 #[must_use]
 pub fn merge(reports: impl IntoIterator<Item = TrafficReport>) -> TrafficReport {
     let mut flows: BTreeMap<FlowNames, FlowReport> = BTreeMap::new();
@@ -68,7 +68,7 @@
     merged
 }
 
-/// The latest report of each front; of equally late ones the first.
+/// The latest report of each front; the first one if several have the same time.
 fn latest_by_front(
     reports: impl IntoIterator<Item = TrafficReport>,
 ) -> BTreeMap<u32, TrafficReport> {
@@ -76,7 +76,7 @@
     for report in reports {
         let is_newer = latest
             .get(&report.front)
-            .is_none_or(|known| report.at_ms > known.at_ms);
+            .is_none_or(|latest| report.at_ms > latest.at_ms);
         if is_newer {
             latest.insert(report.front, report);
         }
@@ -84,7 +84,7 @@
     latest
 }
 
-/// Inserts a report, or adds it to the one that is merged under the same names.
+/// Inserts a report, or adds it to the merged one that has the same names.
 fn merge_entry<Names: Ord, Report>(
     merged: &mut BTreeMap<Names, Report>,
     names: Names,
@@ -100,6 +100,7 @@
 }
 
 impl FlowReport {
+    /// Adds the bytes of another front's report of the same flow.
     fn add(&mut self, other: &FlowReport) {
         self.bytes = self.bytes.saturating_add(other.bytes);
         self.measured_bytes = self.measured_bytes.saturating_add(other.measured_bytes);
@@ -112,6 +113,7 @@
 }
 
 impl BudgetReport {
+    /// Adds another front's report of the same budget. The merged level is the highest one.
     fn add(&mut self, other: &BudgetReport) {
         self.quota += other.quota;
         self.level = self.level.into_iter().chain(other.level).reduce(f64::max);
--- a/crates/cross-zone-traffic/src/report/mod.rs
+++ b/crates/cross-zone-traffic/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The report of a front's traffic: published, saved over its restarts, and merged with those of other fronts.
+//! The report of a front's traffic, which is published, saved across restarts, and merged with the reports of other fronts.
 mod build;
 mod merge;
 mod names;
@@ -11,7 +11,7 @@
 pub use names::TrafficNames;
 pub use types::{BudgetReport, ByteTotals, FlowReport, TrafficReport};
 
-/// Nanoseconds in a millisecond, the unit of points in time in reports.
+/// Nanoseconds per millisecond. Reports state points in time in milliseconds since 1970.
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
 fn to_milliseconds(time: Time) -> u64 {
--- a/crates/cross-zone-traffic/src/report/names.rs
+++ b/crates/cross-zone-traffic/src/report/names.rs
@@ -1,19 +1,19 @@
-//! Names of zones, classes, tenants and title groups, and of the purposes of flows in reports.
+//! The names that reports contain for zones, classes, tenants, title groups and purposes.
 use crate::usage_accounting::{Flow, Purpose, OTHER_FLOWS};
 
-/// The name of zones, classes, tenants and groups of [`OTHER_FLOWS`], and of numbers without a name.
+/// The name reported for numbers without a configured name, such as those of [`OTHER_FLOWS`].
 const OTHER: &str = "other";
 
-/// Names by number.
+/// The configured names, each list indexed by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TrafficNames {
     /// Names of zones.
     pub zones: Vec<String>,
     /// Names of classes.
     pub classes: Vec<String>,
-    /// Names of tenants; empty where all sessions belong to one owner.
+    /// Names of tenants; empty if no tenants are configured.
     pub tenants: Vec<String>,
-    /// Names of title groups; the first stands for titles without a group.
+    /// Names of title groups. The first entry stands for titles without a group.
     pub groups: Vec<String>,
 }
 
@@ -26,7 +26,7 @@
         name_of(&self.classes, class.into())
     }
 
-    /// The tenant of a flow; empty where there are no tenants.
+    /// The name of a flow's tenant; empty if no tenants are configured.
     pub(super) fn tenant(&self, flow: &Flow) -> String {
         if self.tenants.is_empty() && *flow != OTHER_FLOWS {
             return String::new();
@@ -34,7 +34,7 @@
         name_of(&self.tenants, flow.tenant.into())
     }
 
-    /// The title group; empty for titles without one.
+    /// The name of a title group; empty for titles without a group.
     pub(super) fn group(&self, group: u16) -> String {
         if group == 0 {
             return String::new();
@@ -50,6 +50,7 @@
         u8::try_from(number_of(&self.classes, name)?).ok()
     }
 
+    /// The number of a tenant; 0 for an empty name, which stands for no tenants.
     pub(super) fn tenant_number(&self, name: &str) -> Option<u16> {
         if name.is_empty() {
             return Some(0);
@@ -57,6 +58,7 @@
         u16::try_from(number_of(&self.tenants, name)?).ok()
     }
 
+    /// The number of a title group; 0 for an empty name, which stands for titles without a group.
     pub(super) fn group_number(&self, name: &str) -> Option<u16> {
         if name.is_empty() {
             return Some(0);
@@ -76,7 +78,7 @@
     names.iter().position(|known| known == name)
 }
 
-/// The published name of a purpose.
+/// The name of a purpose in reports.
 pub(super) fn purpose_name(purpose: Purpose) -> &'static str {
     match purpose {
         Purpose::FirstAttempt => "playing",
@@ -85,8 +87,8 @@
     }
 }
 
-/// The purpose with a published name.
-pub(super) fn purpose_of(name: &str) -> Option<Purpose> {
+/// The purpose that has a name in reports; `None` if no purpose has it.
+pub(super) fn purpose_from_name(name: &str) -> Option<Purpose> {
     [
         Purpose::FirstAttempt,
         Purpose::Retry,
--- a/crates/cross-zone-traffic/src/traffic_controller/attempts.rs
+++ b/crates/cross-zone-traffic/src/traffic_controller/attempts.rs
@@ -1,20 +1,21 @@
-//! The traffic of attempts to set sessions up: in progress, established, or failed and not counted yet.
+//! Tracks the attempts to set up sessions whose bytes are not fully counted: those in progress, those that became sessions,
+//! and failed ones that wait for their final count.
 use crate::usage_accounting::{Flow, Purpose};
 use crankpaddle_time::Time;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How long the final count of a failed attempt is waited for.
+/// How long to wait for the final count of a failed attempt.
 const FINAL_COUNT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An attempt to set a session up.
+/// An attempt to set up a session, with the properties by which its bytes are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptUsage {
-    /// The attempt's id, which is never reused.
+    /// Id of the attempt, and of the session if it succeeds. Ids are never reused.
     pub id: u64,
-    /// Its number within its request, from 0.
+    /// Number of the attempt within its request: 0 for the first one, more for retries.
     pub number: u8,
-    /// Its server.
+    /// Id of the server.
     pub server: u32,
     /// Class number.
     pub class: u8,
@@ -22,16 +23,16 @@
     pub tenant: u16,
     /// Number of the title group.
     pub group: u16,
-    /// The rung that it starts at.
+    /// Rung at which the session starts.
     pub rung: u8,
 }
 
 /// How an attempt or session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Its server is expected to send a final count.
+    /// The server is expected to send a final count.
     Completed,
-    /// Its server is lost and sends no final count; a session counts as active until the server was last received from.
+    /// The server was lost and sends no final count. A session counts as active until the last message from its server.
     ServerLost,
 }
 
@@ -43,21 +44,21 @@
     pub(super) is_established: bool,
 }
 
-/// An attempt that failed and whose final count is awaited.
+/// An attempt that failed and waits for its final count.
 #[derive(Clone, Copy, Debug)]
 struct FailedAttempt {
     flow: Flow,
     ended_at: Time,
 }
 
-/// The attempts of a front whose traffic is not fully counted.
+/// The attempts of a front whose bytes are not fully counted, by attempt id.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Attempts {
+pub(super) struct UncountedAttempts {
     active: HashMap<u64, ActiveAttempt>,
     failed: BTreeMap<u64, FailedAttempt>,
 }
 
-impl Attempts {
+impl UncountedAttempts {
     pub(super) fn insert(&mut self, usage: AttemptUsage, flow: Flow) {
         let attempt = ActiveAttempt {
             usage,
@@ -87,7 +88,7 @@
         self.active.remove(&id)
     }
 
-    /// Awaits the final count of an attempt that failed.
+    /// Keeps an attempt that failed until its final count arrives or [`FINAL_COUNT_TIMEOUT`] has passed.
     pub(super) fn await_final_count(&mut self, id: u64, flow: Flow, now: Time) {
         let flow = Flow {
             purpose: Purpose::FailedAttempt,
@@ -97,12 +98,12 @@
         self.failed.insert(id, FailedAttempt { flow, ended_at });
     }
 
-    /// The flow of a failed attempt whose final count arrived.
+    /// Removes a failed attempt whose final count arrived and returns its flow; `None` if the attempt is not a failed one.
     pub(super) fn take_failed(&mut self, id: u64) -> Option<Flow> {
         self.failed.remove(&id).map(|attempt| attempt.flow)
     }
 
-    /// Removes the failed attempts whose final count is no longer awaited.
+    /// Removes the failed attempts whose final count did not arrive in time.
     pub(super) fn remove_expired(&mut self, now: Time) {
         self.failed
             .retain(|_, attempt| now.duration_since(attempt.ended_at) < FINAL_COUNT_TIMEOUT);
--- a/crates/cross-zone-traffic/src/traffic_controller/mod.rs
+++ b/crates/cross-zone-traffic/src/traffic_controller/mod.rs
@@ -1,7 +1,7 @@
-//! A front's traffic controller: its usage account and budgets, updated by the events of sessions and servers.
+//! A front's traffic controller: updates the front's usage account and budgets from the events of sessions and servers.
 //!
-//! The caller supplies the time. Before a request is placed, it notifies the placement module of the
-//! [`TrafficController::policy_changes`] and of the rate caps that [`TrafficController::tick`] returned.
+//! The caller supplies the time. Before it places a request, it must pass the changes that
+//! [`TrafficController::policy_changes`] and [`TrafficController::tick`] return to the placement module.
 mod attempts;
 mod config;
 mod server_zones;
@@ -10,40 +10,41 @@
 pub use config::{TrafficClass, TrafficConfig};
 
 use crate::cross_zone_admission::{
-    BudgetStatus, CrossZoneAdmission, OverdraftCause, PolicyChange, RateCapChanges, SessionStart,
+    BudgetStatus, CrossZoneAdmission, CrossingSessionStart, OverdraftCause, PolicyChange,
+    RateCapChanges,
 };
 use crate::usage_accounting::{Flow, Purpose, SavedFlow, UsageAccount, UsageConfig};
-use attempts::{ActiveAttempt, Attempts};
+use attempts::{ActiveAttempt, UncountedAttempts};
 use crankpaddle_time::Time;
 use server_zones::ServerZones;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A count or report is waited for this many times its usual delay ...
+/// Bytes are settled after this many times the usual delay of counts and reports, plus [`SETTLE_DELAY_MARGIN`].
 const SETTLE_DELAY_FACTOR: u32 = 3;
-/// ... and this much longer.
+/// Added to the settlement delay.
 const SETTLE_DELAY_MARGIN: Duration = Duration::from_secs(2);
-/// Delivery reports arrive once a second; a missing one is bridged.
+/// How long a delivery report applies. Reports arrive once a second, so one missing report leaves no gap.
 const DELIVERY_REPORT_TTL: Duration = Duration::from_millis(2500);
-/// Flows with totals of their own at most.
+/// Maximum number of flows that have separate totals; it bounds the memory of the account.
 const MAX_FLOWS: usize = 1024;
-/// The mean session length that is assumed at first, seconds.
+/// Assumed mean session length, in seconds, until sessions have ended.
 const INITIAL_SESSION_SECONDS: f64 = 30.0;
-/// The lowest rung.
+/// Number of the lowest rung.
 const LOWEST_RUNG: u8 = 0;
 
-/// A front's usage account and budgets.
+/// Tracks the cross-zone usage of a front's sessions and enforces its budgets.
 #[derive(Clone, Debug)]
 pub struct TrafficController {
     config: TrafficConfig,
     account: UsageAccount,
     admission: CrossZoneAdmission,
     servers: ServerZones,
-    attempts: Attempts,
+    attempts: UncountedAttempts,
 }
 
 impl TrafficController {
-    /// A controller that has counted nothing yet.
+    /// Creates a controller with an empty usage account and unused budgets.
     #[must_use]
     pub fn new(config: TrafficConfig) -> TrafficController {
         let usage_config = UsageConfig {
@@ -61,111 +62,115 @@
                 INITIAL_SESSION_SECONDS,
             ),
             servers: ServerZones::default(),
-            attempts: Attempts::default(),
+            attempts: UncountedAttempts::default(),
             config,
         }
     }
 
-    /// Changes the configuration; counted bytes, sessions and debt stay. Classes keep their numbers.
+    /// Applies a new configuration, in which classes must keep their numbers. Counted bytes, sessions and debt are kept.
     pub fn reconfigure(&mut self, config: TrafficConfig) {
         self.admission.reconfigure(&config.limits, config.position);
         self.config = config;
     }
 
-    /// The time that a report received now describes.
-    fn described_time(&self, now: Time) -> Time {
+    /// The time to which a count or report that is received now refers: `report_delay` ago.
+    fn measurement_time(&self, now: Time) -> Time {
         now - self.config.report_delay
     }
 }
 
-/// Events of servers.
+/// Handles events of servers.
 impl TrafficController {
-    /// A server is listed in a zone; `is_up`: whether it accepts or finishes work there.
+    /// Handles an endpoint list entry that places a server in a zone. `is_up` tells whether the server accepts new work there
+    /// or still finishes earlier work.
     pub fn endpoint_listed(&mut self, server: u32, zone: u8, is_up: bool) {
-        if let Some(previous) = self.servers.assign(server, zone) {
+        if let Some(previous) = self.servers.assign_zone(server, zone) {
             self.servers.set_up(server, previous, false);
-            self.update_admission_servers(previous);
+            self.update_servers_up(previous);
         }
         if self.servers.set_up(server, zone, is_up) {
-            self.update_admission_servers(zone);
+            self.update_servers_up(zone);
         }
         if !is_up {
             self.admission.server_lost(zone, server);
         }
     }
 
-    /// The complete list of servers: those that are not in it are not up.
+    /// Handles a complete endpoint list: marks all known servers that are missing from it as down.
     pub fn retain_endpoints(&mut self, servers: &BTreeSet<u32>) {
-        for server in self.servers.not_in(servers) {
-            if let Some(zone) = self.servers.zone(server) {
+        for server in self.servers.missing_from(servers) {
+            if let Some(zone) = self.servers.zone_of(server) {
                 self.endpoint_listed(server, zone, false);
             }
         }
     }
 
-    fn update_admission_servers(&mut self, zone: u8) {
+    /// Passes the servers of a zone that are up to admission.
+    fn update_servers_up(&mut self, zone: u8) {
         let servers = self.servers.servers_up(zone);
-        self.admission.update_servers(zone, servers);
+        self.admission.set_servers_up(zone, servers);
     }
 
-    /// The zone that a server is listed in.
+    /// The zone in which a server is listed; `None` if it never was.
     #[must_use]
     pub fn zone(&self, server: u32) -> Option<u8> {
-        self.servers.zone(server)
+        self.servers.zone_of(server)
     }
 
-    /// A server was alive until now, although it may have been lost since.
+    /// Records that a server was alive until `now`. It is not marked as up, because it may have been lost since.
     pub fn server_alive(&mut self, server: u32, now: Time) {
-        self.servers.record_received(server, now);
+        self.servers.record_message(server, now);
     }
 
-    /// A message of a server was received, so it is up.
+    /// Handles a message from a server, which shows that the server is up.
     pub fn server_connected(&mut self, server: u32, now: Time) {
         self.server_alive(server, now);
-        let Some(zone) = self.servers.zone(server) else {
+        let Some(zone) = self.servers.zone_of(server) else {
             return;
         };
         if self.servers.set_up(server, zone, true) {
-            self.update_admission_servers(zone);
+            self.update_servers_up(zone);
         }
     }
 
-    /// A server can't be reached: it sends nothing until a message of it is received again.
+    /// Handles the loss of a server. It counts as down, and as sending nothing, until a message from it is received again.
     pub fn server_lost(&mut self, server: u32) {
-        if let Some(zone) = self.servers.zone(server) {
+        if let Some(zone) = self.servers.zone_of(server) {
             self.servers.set_up(server, zone, false);
             self.admission.server_lost(zone, server);
         }
     }
 
-    /// A server reports what it sends to this front's zone for all fronts, kB a second by class.
+    /// Handles a server's report of what it sends to this front's zone for the sessions of all fronts, in kB per second by
+    /// class.
     pub fn usage_reported(&mut self, server: u32, rate_kb_by_class: BTreeMap<u8, f64>, now: Time) {
         self.server_connected(server, now);
-        if let Some(zone) = self.servers.zone(server) {
-            let at = self.described_time(now);
+        if let Some(zone) = self.servers.zone_of(server) {
+            let at = self.measurement_time(now);
             self.admission
                 .usage_reported(zone, server, at, rate_kb_by_class);
         }
     }
 
-    /// A server reports which share of all rates it delivers; the report describes the time before its delay.
+    /// Handles a server's report of the share of the sum of its sessions' rates that it delivers. The report refers to the
+    /// time `report_delay` ago.
     pub fn delivery_reported(&mut self, server: u32, share: f64, now: Time) {
         self.server_connected(server, now);
-        let at = self.described_time(now);
+        let at = self.measurement_time(now);
         self.account.delivery_reported(server, share, at);
     }
 }
 
-/// Events of sessions.
+/// Handles events of sessions.
 impl TrafficController {
-    /// A request of a class arrived.
+    /// Handles the arrival of a request.
     pub fn session_requested(&mut self, class: u8, now: Time) {
         self.admission.session_requested(now, class);
     }
 
-    /// An attempt was sent to its server.
+    /// Handles an attempt that was sent to its server.
     pub fn attempt_started(&mut self, attempt: AttemptUsage) {
-        let server_zone = self.servers.zone(attempt.server);
+        let server_zone = self.servers.zone_of(attempt.server);
         let flow = Flow {
             from: server_zone.unwrap_or(self.config.zone),
             to: self.config.zone,
@@ -181,7 +186,7 @@
         self.attempts.insert(attempt, flow);
     }
 
-    /// An attempt became a session.
+    /// Handles an attempt that became a session. Its bytes are counted from `now` on.
     pub fn session_established(&mut self, id: u64, now: Time) {
         let Some(ActiveAttempt { usage, flow, .. }) = self.attempts.establish(id) else {
             return;
@@ -190,8 +195,8 @@
         self.account
             .session_started(id, flow, usage.server, rate_kb, now);
         if flow.crosses() {
-            let start = SessionStart {
-                session: id,
+            let start = CrossingSessionStart {
+                session_id: id,
                 from: flow.from,
                 class: flow.class,
                 rate_kb,
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Why a paid session would cross beyond its budget now.
+    /// The cause that is recorded if a paid session exceeds its budget now.
     fn overdraft_cause(&self) -> OverdraftCause {
         if self.servers.has_server_up(self.config.zone) {
             OverdraftCause::LocalZoneFull
@@ -211,7 +216,7 @@
         }
     }
 
-    /// The rung of a session changed.
+    /// Handles a change of a session's rung.
     pub fn rung_changed(&mut self, id: u64, rung: u8, now: Time) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
@@ -221,7 +226,7 @@
         self.admission.rate_changed(now, id, rate_kb);
     }
 
-    /// An attempt or session ended.
+    /// Handles the end of an attempt or session.
     pub fn attempt_ended(&mut self, id: u64, end: AttemptEnd, now: Time) {
         let Some(attempt) = self.attempts.remove(id) else {
             return;
@@ -230,78 +235,79 @@
             self.attempts.await_final_count(id, attempt.flow, now);
             return;
         }
-        let last_received = self.servers.last_received(attempt.usage.server);
-        let ended_at = match (end, last_received) {
-            (AttemptEnd::ServerLost, Some(received_at)) => received_at.min(now),
+        let last_message_at = self.servers.last_message_at(attempt.usage.server);
+        let ended_at = match (end, last_message_at) {
+            (AttemptEnd::ServerLost, Some(last_message_at)) => last_message_at.min(now),
             _ => now,
         };
         self.account.session_ended(id, ended_at);
         self.admission.session_ended(now, id);
     }
 
-    /// A server has counted `bytes` for a session since its start; the count describes the time before its delay.
+    /// Handles a server's cumulative count: it had sent `bytes` of a session by the time `report_delay` ago.
     pub fn bytes_counted(&mut self, id: u64, bytes: u64, now: Time) {
         if self.attempts.is_established(id) {
-            let at = self.described_time(now);
+            let at = self.measurement_time(now);
             self.account.bytes_counted(id, bytes, at);
         }
     }
 
-    /// A server's final count of an attempt or session: all bytes that it sent.
+    /// Handles a server's final count of an attempt or session: the number of all bytes that it sent.
     pub fn final_bytes_counted(&mut self, id: u64, bytes: u64, now: Time) {
         match self.attempts.take_failed(id) {
-            Some(flow) => self.account.add_measured(flow, bytes, now),
+            Some(flow) => self.account.add_measured_bytes(flow, bytes, now),
             None => self.account.final_bytes_counted(id, bytes),
         }
     }
 }
 
-/// Decisions and periodic work.
+/// Policies and periodic work.
 impl TrafficController {
-    /// How classes may be served from zones, where that changed since the previous call. Notify the placement module of the
-    /// changes before a request is placed.
+    /// Returns the policies, by zone and class, that changed since the previous call. The caller must pass them to the
+    /// placement module before it places a request.
     pub fn policy_changes(&mut self, now: Time) -> Vec<PolicyChange> {
         self.admission.policy_changes(now)
     }
 
-    /// Zones all of whose servers' reports this front needs now.
+    /// The zones from which this front currently needs the usage reports of every server.
     #[must_use]
     pub fn zones_observed(&self, now: Time) -> BTreeSet<u8> {
         self.admission.zones_observed(now)
     }
 
-    /// Whether a server is listed in one of these zones and is up.
+    /// Whether a server is up and listed in one of `zones`.
     #[must_use]
     pub fn is_in_zones(&self, server: u32, zones: &BTreeSet<u8>) -> bool {
         self.servers.is_up_in(server, zones)
     }
 
-    /// Updates quotas and returns which sessions are to be capped or uncapped; call it about once a second.
+    /// Updates the quotas and returns the sessions to cap or uncap. Must be called about once a second.
     pub fn tick(&mut self, now: Time) -> RateCapChanges {
         self.attempts.remove_expired(now);
         self.admission.tick(now)
     }
 
-    /// Settles up to `max_sessions` sessions; returns whether that completed a round over all of them.
+    /// Settles the bytes of up to `max_sessions` sessions. Returns true when this completes a round over all sessions.
     pub fn settle_usage(&mut self, now: Time, max_sessions: usize) -> bool {
         self.account.settle(now, max_sessions)
     }
 
-    /// Restores the totals that a previous incarnation saved; false where something was counted already.
+    /// Restores the totals that a previous incarnation saved. Returns false, and restores nothing, if bytes were already
+    /// counted.
     pub fn restore(&mut self, saved_flows: &[SavedFlow]) -> bool {
         self.account.restore(saved_flows)
     }
 }
 
-/// State that is reported.
+/// State for reports.
 impl TrafficController {
-    /// The usage account.
+    /// The bytes that this front's sessions used, by flow.
     #[must_use]
     pub fn usage(&self) -> &UsageAccount {
         &self.account
     }
 
-    /// The state of each budget.
+    /// The current state of each budget, ordered by zone and class.
     pub fn budget_statuses(&mut self, now: Time) -> Vec<BudgetStatus> {
         self.admission.budget_statuses(now)
     }
--- a/crates/cross-zone-traffic/src/usage_accounting/delivery_reports.rs
+++ b/crates/cross-zone-traffic/src/usage_accounting/delivery_reports.rs
@@ -1,23 +1,23 @@
-//! What servers reported about the share of all rates that they deliver.
+//! The reports of servers on the share of their sessions' rates that they deliver.
 use crankpaddle_time::Time;
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Bound;
 use std::time::Duration;
 
-/// Reported delivery shares, by server and by the time that each report describes.
+/// Reported delivery shares, by server and by the time to which each report refers.
 #[derive(Clone, Debug)]
 pub(super) struct DeliveryReports {
-    /// A report holds until the next one, but no longer than this.
+    /// A report applies until the next one, but no longer than this.
     time_to_live: Duration,
     by_server: HashMap<u32, BTreeMap<Time, f64>>,
 }
 
-/// The delivery share in force at a time.
+/// The delivery share that applies at a point in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct DeliveryShare {
-    /// The share, 0 to 1; `None` where no report covers the time.
+    /// The share, 0 to 1; `None` if no report covers that time.
     pub(super) share: Option<f64>,
-    /// Until when this holds.
+    /// When another share, or none, may start to apply; [`Time::MAX`] if no such time is known.
     pub(super) valid_until: Time,
 }
 
@@ -29,14 +29,14 @@
         }
     }
 
-    /// Records a share, 0 to 1, that a server delivered at a time.
+    /// Records the share, 0 to 1, that a server delivered at a point in time.
     pub(super) fn record(&mut self, server: u32, share: f64, at: Time) {
         self.by_server.entry(server).or_default().insert(at, share);
     }
 
-    /// Removes the reports that no longer hold at the settlement horizon.
+    /// Removes the reports that no longer apply at the settlement horizon.
     pub(super) fn prune(&mut self, horizon: Time) {
-        // The last report before the horizon may still hold.
+        // The last report before the horizon may still apply.
         let oldest_needed = horizon - self.time_to_live;
         self.by_server.retain(|_, reports| {
             *reports = reports.split_off(&oldest_needed);
@@ -44,7 +44,7 @@
         });
     }
 
-    /// The share that a server delivered at a time.
+    /// The share that a server delivered at a point in time.
     pub(super) fn share_at(&self, server: u32, at: Time) -> DeliveryShare {
         let Some(reports) = self.by_server.get(&server) else {
             return DeliveryShare {
--- a/crates/cross-zone-traffic/src/usage_accounting/flow.rs
+++ b/crates/cross-zone-traffic/src/usage_accounting/flow.rs
@@ -1,46 +1,46 @@
-//! Flows (zones, class, tenant and title group of bytes), and their totals by how the bytes are known.
-use crate::windows::{Span, SpanTotal, Windows};
+//! Flows, which bytes are grouped by (zones, class, tenant, title group and purpose), and the byte totals of each flow.
+use crate::windows::{Span, SpanTotal, WindowedBytes};
 use crankpaddle_time::Time;
 use std::collections::BTreeMap;
 
-/// What the bytes of an attempt were used for.
+/// The outcome of the attempt that bytes were sent for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Purpose {
-    /// A session that was established at its first attempt.
+    /// The session was established at the first attempt.
     #[default]
     FirstAttempt,
-    /// A session that was established at a retry.
+    /// The session was established at a retry.
     Retry,
-    /// An attempt that never became a session.
+    /// The attempt failed: it never became a session.
     FailedAttempt,
 }
 
-/// The zones, class, tenant, title group and purpose of bytes.
+/// The properties by which bytes are grouped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Flow {
     /// Zone of the server.
     pub from: u8,
-    /// Zone of the viewer, which is that of the front.
+    /// Zone of the viewer, which is also that of the front.
     pub to: u8,
     /// Class number.
     pub class: u8,
     /// Tenant number.
     pub tenant: u16,
-    /// Number of the title group.
+    /// Number of the title group; 0 for titles without a group.
     pub group: u16,
-    /// What the bytes were used for.
+    /// The outcome of the attempt that the bytes were sent for.
     pub purpose: Purpose,
 }
 
 impl Flow {
-    /// Whether the flow goes from one zone to another.
+    /// Whether the flow goes from one zone to a different one.
     #[must_use]
     pub fn crosses(&self) -> bool {
         self.from != self.to
     }
 }
 
-/// The flow under which all flows beyond [`super::UsageConfig::max_flows`] are counted.
+/// The flow under which bytes are counted if there are more than [`super::UsageConfig::max_flows`] flows.
 pub const OTHER_FLOWS: Flow = Flow {
     from: u8::MAX,
     to: u8::MAX,
@@ -50,36 +50,36 @@
     purpose: Purpose::FirstAttempt,
 };
 
-/// How settled bytes are known.
+/// How the number of settled bytes was determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ByteSource {
     /// Counted by the server.
     Measured,
-    /// Estimated from rung and time, corrected by a report of the share delivered.
+    /// Estimated from the rate of the rung, multiplied by the reported share delivered.
     Corrected,
-    /// Estimated from rung and time alone.
+    /// Estimated from the rate of the rung alone.
     Estimated,
 }
 
-/// Settled bytes of a flow, by how they are known.
+/// Settled bytes of a flow, by how their number was determined.
 #[derive(Clone, Debug, Default)]
 pub struct FlowTotals {
-    /// Counted by servers.
-    pub measured: Windows,
-    /// Estimated from rung and time, corrected by a report of the share delivered.
-    pub corrected: Windows,
-    /// Estimated from rung and time alone.
-    pub estimated: Windows,
-    /// Bytes that were settled, but never sent according to a later count.
+    /// Bytes counted by servers.
+    pub measured: WindowedBytes,
+    /// Bytes estimated from the rate of the rung, multiplied by the reported share delivered.
+    pub corrected: WindowedBytes,
+    /// Bytes estimated from the rate of the rung alone.
+    pub estimated: WindowedBytes,
+    /// Bytes that were settled, but not sent according to the final count of their session.
     pub overstated_bytes: u64,
 }
 
 impl FlowTotals {
-    fn sources(&self) -> [&Windows; 3] {
+    fn sources(&self) -> [&WindowedBytes; 3] {
         [&self.measured, &self.corrected, &self.estimated]
     }
 
-    pub(super) fn source_mut(&mut self, source: ByteSource) -> &mut Windows {
+    pub(super) fn source_mut(&mut self, source: ByteSource) -> &mut WindowedBytes {
         match source {
             ByteSource::Measured => &mut self.measured,
             ByteSource::Corrected => &mut self.corrected,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// All bytes of the flow, less those overstated.
+    /// All bytes of the flow, less the overstated ones.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.sources()
@@ -96,7 +96,7 @@
             .saturating_sub(self.overstated_bytes)
     }
 
-    /// Bytes of the recent spans in which there were any, by the start of the span.
+    /// Bytes in recent spans, by the start of the span, without the spans that had none.
     #[must_use]
     pub fn recent(&self, span: Span) -> BTreeMap<Time, u64> {
         let mut bytes_by_start = BTreeMap::new();
@@ -110,8 +110,8 @@
         bytes_by_start
     }
 
-    /// Replaces the totals by saved ones. The saved hours of all sources are added to the windows of measured bytes:
-    /// hours are only reported as sums over all sources, while the totals of the sources are separate.
+    /// Replaces the totals by saved ones. The saved hours, which are sums over all sources, are added to the measured bytes.
+    /// This does no harm, because hours are only reported as such sums; the totals of the sources stay separate.
     pub(super) fn restore(&mut self, saved: &SavedFlow) {
         for hour in &saved.hours {
             self.measured.add(hour.start, hour.bytes);
@@ -123,26 +123,26 @@
     }
 }
 
-/// Adds to the total of a span, which stays at the maximum rather than overflow.
+/// Adds to the total of a span, which saturates instead of overflowing.
 pub(super) fn add_saturating(bytes_by_start: &mut BTreeMap<Time, u64>, start: Time, bytes: u64) {
     let total = bytes_by_start.entry(start).or_default();
     *total = total.saturating_add(bytes);
 }
 
-/// Totals of a flow as saved by a previous incarnation of the front.
+/// The totals of a flow that are saved for the next incarnation of the front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SavedFlow {
-    /// The flow.
+    /// The flow to which the totals belong.
     pub flow: Flow,
     /// Bytes counted by servers.
     pub measured_bytes: u64,
-    /// Estimated bytes, corrected by delivery reports.
+    /// Bytes estimated from the rate of the rung, multiplied by the reported share delivered.
     pub corrected_bytes: u64,
-    /// Bytes estimated from rung and time alone.
+    /// Bytes estimated from the rate of the rung alone.
     pub estimated_bytes: u64,
-    /// Bytes that were settled and never sent.
+    /// Bytes that were settled, but not sent according to the final count of their session.
     pub overstated_bytes: u64,
-    /// Recent hours, with the bytes of all three sources.
+    /// Bytes of recent hours, summed over the three sources.
     pub hours: Vec<SpanTotal>,
 }
 
@@ -163,7 +163,7 @@
     }
 }
 
-/// Totals by flow, of a bounded number of flows.
+/// The totals of a bounded number of flows.
 #[derive(Clone, Debug)]
 pub(super) struct TotalsByFlow {
     max_flows: usize,
@@ -186,7 +186,7 @@
         self.totals.iter()
     }
 
-    /// The totals of a flow, or those of [`OTHER_FLOWS`] where there are too many flows.
+    /// The totals of a flow, which are created if needed; those of [`OTHER_FLOWS`] if there are too many flows.
     pub(super) fn entry(&mut self, flow: Flow) -> &mut FlowTotals {
         let has_entry = self.totals.contains_key(&flow) || self.totals.len() < self.max_flows;
         let flow = if has_entry { flow } else { OTHER_FLOWS };
--- a/crates/cross-zone-traffic/src/usage_accounting/mod.rs
+++ b/crates/cross-zone-traffic/src/usage_accounting/mod.rs
@@ -1,12 +1,16 @@
-//! Bytes by flow: counted by servers, or estimated from the current rung and the share delivered where no count arrived.
+//! Accounts for the bytes of each flow, as counted by servers, or estimated from the rung where no count arrived.
 //!
-//! Servers send cumulative counts of each session while it plays and when it ends. They may arrive late, duplicated, out
-//! of order or not at all; since a count is cumulative, a missing one costs nothing and a duplicate changes nothing.
-//! Bytes are settled when their time is so old that a count of it would have arrived: between two counts they are spread
-//! evenly (measured); beyond the last one they follow the current rung, times the share that the server reported as
-//! delivered (corrected), or the rung alone (estimated). Settled bytes stay in their second. If a later count is below the
-//! settled bytes, the difference is subtracted from the total of the flow (overstated). So totals agree with the servers
-//! in the end, and can decrease by the overstated bytes of a session.
+//! Servers send cumulative byte counts of each session while it plays and when it ends. Counts may arrive late, duplicated,
+//! out of order or not at all. Since they are cumulative, a missing count loses no bytes and a duplicate changes nothing.
+//!
+//! Bytes are settled, that is, added to the totals, once they are so old that a count of their time should have arrived:
+//! - Bytes between two counts are spread evenly over the time between them (measured).
+//! - Bytes after the last count follow from the rate of the current rung, multiplied by the share that the server reported
+//!   as delivered (corrected), or from the rate alone if there is no such report (estimated).
+//!
+//! Settled bytes stay in the second in which they were counted. If the final count of a session is below its settled bytes,
+//! the difference is subtracted from the total of the flow (overstated). So the totals finally agree with those of the
+//! servers, but they can decrease by the overstated bytes of a session.
 mod delivery_reports;
 mod flow;
 mod session_usage;
@@ -22,46 +26,47 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// How usage is accounted.
+/// Delays and limits of the usage account.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageConfig {
-    /// Bytes are settled at this age; counts and reports are waited for until then.
+    /// Age at which bytes are settled. Counts and reports that arrive later may be dropped.
     pub settle_delay: Duration,
-    /// A delivery report holds until the next, but no longer than this.
+    /// A delivery report applies until the next one, but no longer than this.
     pub delivery_report_ttl: Duration,
-    /// Flows with totals of their own; those beyond are counted under [`OTHER_FLOWS`].
+    /// Maximum number of flows with separate totals. Bytes of further flows are counted under [`OTHER_FLOWS`].
     pub max_flows: usize,
 }
 
-/// Counts bytes by flow.
+/// Tracks the bytes of sessions and adds them to the totals of their flows.
 #[derive(Clone, Debug)]
 pub struct UsageAccount {
     config: UsageConfig,
     totals: TotalsByFlow,
     sessions: BTreeMap<u64, SessionUsage>,
     delivery: DeliveryReports,
-    now: Time,
+    /// The latest time that a caller supplied.
+    latest_time: Time,
     dropped_late_reports: u64,
-    /// The session that was settled last in the present round.
+    /// The session that was settled last in the current round; `None` at the start of a round.
     last_settled: Option<u64>,
 }
 
 impl UsageAccount {
-    /// An empty account.
+    /// Creates an account without sessions and bytes.
     #[must_use]
     pub fn new(config: UsageConfig) -> UsageAccount {
         UsageAccount {
             totals: TotalsByFlow::new(config.max_flows),
             sessions: BTreeMap::new(),
             delivery: DeliveryReports::new(config.delivery_report_ttl),
-            now: Time::ZERO,
+            latest_time: Time::ZERO,
             dropped_late_reports: 0,
             last_settled: None,
             config,
         }
     }
 
-    /// A session starts; a session that is known already stays as it is.
+    /// Handles the start of a session. Ignores a session that is already known.
     pub fn session_started(
         &mut self,
         session: u64,
@@ -76,7 +81,7 @@
             .or_insert_with(|| SessionUsage::new(flow, server, rate_kb, at));
     }
 
-    /// The rate of a session changes.
+    /// Handles a change of a session's rate.
     pub fn rate_changed(&mut self, session: u64, rate_kb: f64, at: Time) {
         let at = self.advance_clock(at);
         if let Some(usage) = self.sessions.get_mut(&session) {
@@ -84,7 +89,7 @@
         }
     }
 
-    /// A server has counted `bytes` for a session from its start until a time.
+    /// Handles a server's cumulative count: it had sent `bytes` of a session by the time `at`.
     pub fn bytes_counted(&mut self, session: u64, bytes: u64, at: Time) {
         let at = self.advance_clock(at);
         match self.sessions.get_mut(&session) {
@@ -93,7 +98,7 @@
         }
     }
 
-    /// A session ends. It is retained until a count of its end would have arrived.
+    /// Handles the end of a session, which is retained until its final count should have arrived.
     pub fn session_ended(&mut self, session: u64, at: Time) {
         let at = self.advance_clock(at);
         if let Some(usage) = self.sessions.get_mut(&session) {
@@ -101,7 +106,7 @@
         }
     }
 
-    /// The server's final count of a session: all bytes that it sent.
+    /// Handles the server's final count of a session: the number of all bytes that it sent.
     pub fn final_bytes_counted(&mut self, session: u64, bytes: u64) {
         match self.sessions.get_mut(&session) {
             Some(usage) => usage.record_final_count(bytes),
@@ -109,18 +114,19 @@
         }
     }
 
-    /// Adds bytes that belong to no session, sent by a time: those of a failed attempt.
-    pub fn add_measured(&mut self, flow: Flow, bytes: u64, at: Time) {
+    /// Adds bytes that a server counted for a failed attempt, which belong to no session.
+    pub fn add_measured_bytes(&mut self, flow: Flow, bytes: u64, at: Time) {
         let at = self.advance_clock(at);
         if bytes > 0 {
             self.totals.entry(flow).measured.add(at, bytes);
         }
     }
 
-    /// A server reports the share of all rates that it delivered at a time. A duplicate changes nothing, and the order of
-    /// reports does not matter.
+    /// Handles a server's report of the share of the sum of its sessions' rates that it delivered at a point in time.
+    /// Reports may arrive in any order, and a duplicate changes nothing. Ignores shares that are not finite, and reports of a
+    /// time further in the future than the settlement delay.
     pub fn delivery_reported(&mut self, server: u32, share: f64, at: Time) {
-        let latest_accepted = self.now + self.config.settle_delay;
+        let latest_accepted = self.latest_time + self.config.settle_delay;
         if !share.is_finite() || at > latest_accepted {
             return;
         }
@@ -131,22 +137,23 @@
         self.delivery.record(server, share.clamp(0.0, 1.0), at);
     }
 
-    /// Settles the bytes that are old enough, of up to `max_sessions` sessions so that a call takes bounded time; returns
-    /// whether the round over all sessions is complete. Call it until it is, about once a second. A time that goes back
-    /// changes nothing.
+    /// Settles the bytes that are old enough, for at most `max_sessions` sessions, so that a call takes bounded time. Returns
+    /// whether this completes a round over all sessions. A round should be run about once a second, by repeated calls. If
+    /// `now` is earlier than in a previous call, it has no effect.
     pub fn settle(&mut self, now: Time, max_sessions: usize) -> bool {
         self.advance_clock(now);
         let horizon = self.settle_horizon();
         let visited = self.settle_next_sessions(horizon, max_sessions);
-        let complete = visited < max_sessions;
-        if complete {
+        let is_complete = visited < max_sessions;
+        if is_complete {
             self.last_settled = None;
             self.delivery.prune(horizon);
         }
-        complete
+        is_complete
     }
 
-    /// Settles the next sessions of the round and removes those that are over; the number of sessions visited.
+    /// Settles the next sessions of the round and removes those that ended by the horizon. Returns the number of sessions
+    /// visited.
     fn settle_next_sessions(&mut self, horizon: Time, max_sessions: usize) -> usize {
         let after_last = self.last_settled.map_or(Bound::Unbounded, Bound::Excluded);
         let next_sessions = self
@@ -169,22 +176,23 @@
         visited
     }
 
-    /// Advances the clock, which never goes back. Returns the given time, or the settlement horizon if that is later.
+    /// Advances the latest time, which never goes back. Returns `at`, or the settlement horizon if that is later.
     fn advance_clock(&mut self, at: Time) -> Time {
-        self.now = self.now.max(at);
+        self.latest_time = self.latest_time.max(at);
         at.max(self.settle_horizon())
     }
 
+    /// Bytes up to this time are old enough to be settled.
     fn settle_horizon(&self) -> Time {
-        self.now - self.config.settle_delay
+        self.latest_time - self.config.settle_delay
     }
 
-    /// Flows and their settled bytes.
+    /// All flows and their settled bytes.
     pub fn flows(&self) -> impl Iterator<Item = (&Flow, &FlowTotals)> {
         self.totals.iter()
     }
 
-    /// Settled bytes of the flows that a filter accepts.
+    /// Sum of the settled bytes of the flows that `accepts` selects.
     #[must_use]
     pub fn total(&self, accepts: impl Fn(&Flow) -> bool) -> u64 {
         self.flows()
@@ -192,7 +200,7 @@
             .fold(0, |sum, (_, totals)| sum.saturating_add(totals.total()))
     }
 
-    /// Bytes of recent spans, by the start of the span, of the flows that a filter accepts.
+    /// Bytes in recent spans, by the start of the span, summed over the flows that `accepts` selects.
     #[must_use]
     pub fn recent(&self, span: Span, accepts: impl Fn(&Flow) -> bool) -> BTreeMap<Time, u64> {
         let mut bytes_by_start = BTreeMap::new();
@@ -204,19 +212,19 @@
         bytes_by_start
     }
 
-    /// Sessions that are active or wait for their last counts.
+    /// Number of sessions that are active or wait for their final counts.
     #[must_use]
     pub fn unsettled_sessions(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Counts and reports that arrived after their time was settled and their session was removed.
+    /// Number of counts whose session was already removed, and of delivery reports whose time was already settled.
     #[must_use]
     pub fn dropped_late_reports(&self) -> u64 {
         self.dropped_late_reports
     }
 
-    /// The totals that must survive a restart.
+    /// The totals of all flows, to be saved for the next incarnation.
     #[must_use]
     pub fn snapshot(&self) -> Vec<SavedFlow> {
         self.flows()
@@ -224,8 +232,8 @@
             .collect()
     }
 
-    /// Restores what a previous incarnation saved; only into an empty account, so that nothing is counted twice. False
-    /// where the account is not empty.
+    /// Restores the totals that a previous incarnation saved. Returns false, and changes nothing, if this account has totals
+    /// already, so that no bytes are counted twice.
     pub fn restore(&mut self, saved_flows: &[SavedFlow]) -> bool {
         if !self.totals.is_empty() {
             return false;
--- a/crates/cross-zone-traffic/src/usage_accounting/session_usage.rs
+++ b/crates/cross-zone-traffic/src/usage_accounting/session_usage.rs
@@ -1,55 +1,58 @@
-//! The bytes of one session: its rates, the counts of its server, and how far both are settled.
+//! The bytes of one session: its rates, the counts of its server, and the time up to which they are settled.
 use super::delivery_reports::DeliveryReports;
 use super::flow::{ByteSource, Flow, TotalsByFlow};
 use crate::{nanoseconds_between, BYTES_PER_KB, NANOSECONDS_PER_SECOND};
 use crankpaddle_time::{nanoseconds, Time};
 use std::time::Duration;
 
-/// Unsettled counts retained for a session. Counts are cumulative, so the oldest is dropped when there are more.
+/// Maximum number of unsettled counts retained for a session. Counts are cumulative, so the oldest can be dropped without
+/// losing bytes.
 const MAX_UNSETTLED_COUNTS: usize = 16;
-/// A settlement step lasts no longer than until the next full second, since totals are kept by second.
+/// Each settlement step ends at the next full second or earlier, because totals are kept by second.
 const SECOND: Duration = Duration::from_secs(1);
-/// The smallest distance between two points in time; no step is shorter.
-const SMALLEST_STEP: Duration = Duration::from_nanos(1);
+/// Minimum length of a settlement step: the resolution of [`Time`].
+const MIN_STEP: Duration = Duration::from_nanos(1);
 
-/// A rate that applies from a time on.
+/// A rate that applies from a point in time on.
 #[derive(Clone, Copy, Debug)]
 struct RateChange {
     at: Time,
     rate_kb: f64,
 }
 
-/// A cumulative count: what the server had sent by a time.
+/// A cumulative count: the bytes that the server had sent by a point in time.
 #[derive(Clone, Copy, Debug)]
 struct CumulativeCount {
     at: Time,
     bytes: u64,
 }
 
-/// A session that is active, or that waits for its last counts.
+/// A session that is active, or that has ended and waits for its final count.
 #[derive(Clone, Debug)]
 pub(super) struct SessionUsage {
     flow: Flow,
     server: u32,
-    /// By time; the first one applies at `settled_until`.
+    /// Ordered by time. The first one applies at `settled_until`.
     rates: Vec<RateChange>,
-    /// By time; those after `settled_until`.
+    /// Ordered by time. After each settlement, only those later than `settled_until` remain.
     unsettled_counts: Vec<CumulativeCount>,
-    /// Bytes up to this time are in the totals.
+    /// The bytes up to this time are included in the totals.
     settled_until: Time,
-    /// Bytes that are in the totals.
+    /// Number of bytes included in the totals.
     settled_bytes: u64,
-    /// The fraction of a byte that is not in the totals yet.
+    /// Fraction of a byte that is not included in the totals yet.
     byte_fraction: f64,
     ended_at: Option<Time>,
+    /// The server's final count.
     final_bytes: Option<u64>,
 }
 
-/// The rate that rung and delivery share give from a time on.
+/// A rate estimated from the rung and the delivery share.
 #[derive(Clone, Copy, Debug)]
 struct RateEstimate {
     rate_kb: f64,
     source: ByteSource,
+    /// When another rung or delivery share may start to apply.
     valid_until: Time,
 }
 
@@ -87,13 +90,14 @@
         }
     }
 
-    /// Records a cumulative count; nothing after the final one.
+    /// Records a cumulative count. Ignores it if the final count has arrived.
     pub(super) fn record_count(&mut self, bytes: u64, at: Time, delivery: &DeliveryReports) {
         if self.final_bytes.is_some() {
             return;
         }
-        // The bytes up to that time may be settled already. Then the estimate of those sent since is added.
-        let effective_at = at.max(self.settled_until + SMALLEST_STEP);
+        // If the bytes up to that time are already settled, move the count to just after the settled time and add the
+        // estimate of the bytes sent in between.
+        let effective_at = at.max(self.settled_until + MIN_STEP);
         let sent_since = self.estimated_bytes(at, effective_at, delivery);
         self.insert_count(CumulativeCount {
             at: effective_at,
@@ -110,7 +114,7 @@
         let above_later = counts
             .get(index)
             .is_some_and(|later| later.bytes < count.bytes);
-        // Cumulative counts never decrease: a count that contradicts its neighbours arrived out of order.
+        // Cumulative counts never decrease, so ignore a count that contradicts its neighbours.
         if below_earlier || above_later {
             return;
         }
@@ -123,19 +127,20 @@
         }
     }
 
-    /// Ends the session; a second end changes nothing.
+    /// Ends the session. Has no effect on a session that has already ended.
     pub(super) fn end(&mut self, at: Time) {
         self.ended_at = self.ended_at.or(Some(at.max(self.settled_until)));
     }
 
-    /// Records the server's final count. A second one does not replace it, but counts above it are removed too.
+    /// Records the server's final count. A second final count does not replace the first one, but counts above it are removed
+    /// as well.
     pub(super) fn record_final_count(&mut self, bytes: u64) {
         self.final_bytes = self.final_bytes.or(Some(bytes));
-        // No earlier count may exceed the final one.
+        // Counts are cumulative, so none can exceed the final one.
         self.unsettled_counts.retain(|count| count.bytes <= bytes);
     }
 
-    /// Whether the session ended at or before a time.
+    /// Whether the session ended at or before the horizon.
     pub(super) fn has_ended_by(&self, horizon: Time) -> bool {
         self.ended_at.is_some_and(|end| end <= horizon)
     }
@@ -159,17 +164,17 @@
         }
     }
 
-    /// Places the final count at the end of the session, whenever it arrived.
+    /// Replaces the counts at and after the end of the session by the final count, if it has arrived.
     fn apply_final_count(&mut self) {
         let (Some(end), Some(bytes)) = (self.ended_at, self.final_bytes) else {
             return;
         };
         self.unsettled_counts.retain(|count| count.at < end);
-        let at = end.max(self.settled_until + SMALLEST_STEP);
+        let at = end.max(self.settled_until + MIN_STEP);
         self.unsettled_counts.push(CumulativeCount { at, bytes });
     }
 
-    /// The next step: no longer than until the next second, count, rate change or delivery report.
+    /// The next settlement step. It ends at the next full second, count, rate change or delivery report, or at `until`.
     fn next_step(&self, until: Time, delivery: &DeliveryReports) -> SettlementStep {
         let start = self.settled_until;
         let next_second = next_second_after(start);
@@ -189,7 +194,7 @@
         let end = until
             .min(estimate.valid_until)
             .min(next_second)
-            .max(start + SMALLEST_STEP);
+            .max(start + MIN_STEP);
         SettlementStep {
             end,
             bytes: bytes_between(estimate.rate_kb, start, end),
@@ -198,11 +203,12 @@
         }
     }
 
+    /// Adds the whole bytes of a step to the totals and keeps the fraction for the next step.
     fn settle_step(&mut self, step: SettlementStep, totals: &mut TotalsByFlow) {
         let start = self.settled_until;
         self.byte_fraction += step.bytes;
         let integer_bytes = if step.ends_at_count {
-            // Up to a count the sum is an integer; only rounding errors make it less.
+            // Up to a count, the exact sum is an integer, so any fraction is a rounding error.
             self.byte_fraction.round()
         } else {
             self.byte_fraction.floor()
@@ -216,7 +222,7 @@
         self.settled_until = step.end;
     }
 
-    /// Discards the rates and counts that settlement no longer needs.
+    /// Discards the rates and counts that are no longer needed for settlement.
     fn discard_settled(&mut self) {
         let current = self.rate_index_at(self.settled_until);
         self.rates.drain(..current);
@@ -225,7 +231,7 @@
             .retain(|count| count.at > settled_until);
     }
 
-    /// Settles the difference between the settled bytes and a final count that arrived after they were estimated.
+    /// Settles the difference between the final count and the settled bytes, if the count arrived after they were estimated.
     fn settle_difference(&mut self, totals: &mut TotalsByFlow) {
         let Some(final_bytes) = self.final_bytes else {
             return;
@@ -247,7 +253,7 @@
         at: Time,
         bytes: u64,
     ) {
-        // Why: the number of flows is bounded, and a flow without bytes must not count.
+        // The number of flows is bounded, and a flow without bytes must not take one of the entries.
         if bytes == 0 {
             return;
         }
@@ -281,14 +287,14 @@
         }
     }
 
-    /// Estimated bytes between two times.
+    /// Estimated bytes between two points in time, up to the end of the session.
     fn estimated_bytes(&self, from: Time, to: Time, delivery: &DeliveryReports) -> f64 {
         let to = self.ended_at.map_or(to, |end| end.min(to));
         let mut at = from;
         let mut bytes = 0.0;
         while at < to {
             let estimate = self.estimate_at(at, delivery);
-            let step_end = to.min(estimate.valid_until).max(at + SMALLEST_STEP);
+            let step_end = to.min(estimate.valid_until).max(at + MIN_STEP);
             bytes += bytes_between(estimate.rate_kb, at, step_end);
             at = step_end;
         }
--- a/crates/cross-zone-traffic/src/windows.rs
+++ b/crates/cross-zone-traffic/src/windows.rs
@@ -1,139 +1,141 @@
-//! Byte totals of recent seconds, minutes and hours, in bounded memory.
+//! Byte totals for recent seconds, minutes and hours, in bounded memory.
 use crankpaddle_time::{nanoseconds, Time};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
 const MINUTE: Duration = Duration::from_secs(60);
 const HOUR: Duration = Duration::from_secs(60 * 60);
-/// Seconds whose totals are retained.
+/// Number of seconds whose totals are retained: 2 minutes.
 const RETAINED_SECONDS: usize = 120;
-/// Minutes whose totals are retained.
+/// Number of minutes whose totals are retained: 2 hours.
 const RETAINED_MINUTES: usize = 120;
-/// Hours whose totals are retained: a week.
+/// Number of hours whose totals are retained: a week.
 const RETAINED_HOURS: usize = 168;
 
-/// A ring buffer of byte totals, one for each recent span of time.
+/// A ring buffer of byte totals, one for each recent span of equal length.
 #[derive(Clone, Debug)]
-struct Ring {
+struct TotalsRing {
     /// Length of a span.
     span: Duration,
-    /// The total of span `n` is at `n` modulo the number of totals.
+    /// The total of span `n` is at index `n` modulo the number of totals.
     totals: Vec<u64>,
-    /// Number of the newest span.
-    newest: u64,
+    /// Number of the newest span: its start divided by the length of a span.
+    newest_span: u64,
 }
 
-impl Ring {
-    fn new(span: Duration, retained: usize) -> Ring {
-        Ring {
+impl TotalsRing {
+    fn new(span: Duration, retained: usize) -> TotalsRing {
+        TotalsRing {
             span,
             totals: vec![0; retained],
-            newest: 0,
+            newest_span: 0,
         }
     }
 
-    fn retained(&self) -> u64 {
+    fn retained_count(&self) -> u64 {
         self.totals.len() as u64
     }
 
-    fn index(&self, number: u64) -> usize {
-        (number % self.retained()) as usize
+    fn index_of(&self, span_number: u64) -> usize {
+        (span_number % self.retained_count()) as usize
     }
 
+    /// Adds bytes to the span that contains `at`. Ignores them if that span is no longer retained.
     fn add(&mut self, at: Time, bytes: u64) {
-        let number = at.as_nanos() / nanoseconds(self.span);
-        if number > self.newest {
-            self.advance_to(number);
+        let span_number = at.as_nanos() / nanoseconds(self.span);
+        if span_number > self.newest_span {
+            self.advance_to(span_number);
         }
-        if self.newest - number < self.retained() {
-            let index = self.index(number);
+        if self.newest_span - span_number < self.retained_count() {
+            let index = self.index_of(span_number);
             self.totals[index] = self.totals[index].saturating_add(bytes);
         }
     }
 
-    /// Clears the spans up to a new newest one, each at most once.
-    fn advance_to(&mut self, number: u64) {
-        let last_to_clear = number.min(self.newest + self.retained());
-        for cleared in self.newest + 1..=last_to_clear {
-            let index = self.index(cleared);
+    /// Makes a later span the newest one and clears the spans that it replaces.
+    fn advance_to(&mut self, span_number: u64) {
+        let last_to_clear = span_number.min(self.newest_span + self.retained_count());
+        for cleared in self.newest_span + 1..=last_to_clear {
+            let index = self.index_of(cleared);
             self.totals[index] = 0;
         }
-        self.newest = number;
+        self.newest_span = span_number;
     }
 
-    /// The recent spans, oldest first.
+    /// The totals of the retained spans, oldest first.
     fn recent(&self) -> Vec<SpanTotal> {
-        let oldest = (self.newest + 1).saturating_sub(self.retained());
-        (oldest..=self.newest)
-            .map(|number| SpanTotal {
-                start: Time(number * nanoseconds(self.span)),
-                bytes: self.totals[self.index(number)],
+        let oldest = (self.newest_span + 1).saturating_sub(self.retained_count());
+        (oldest..=self.newest_span)
+            .map(|span_number| SpanTotal {
+                start: Time(span_number * nanoseconds(self.span)),
+                bytes: self.totals[self.index_of(span_number)],
             })
             .collect()
     }
 }
 
-/// The length of the spans that totals are kept for.
+/// Length of the spans for which totals are retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Span {
-    /// A second.
+    /// One second; the last 120 are retained.
     Second,
-    /// A minute.
+    /// One minute; the last 120 are retained.
     Minute,
-    /// An hour.
+    /// One hour; the last 168, a week, are retained.
     Hour,
 }
 
-/// The bytes of one span.
+/// Byte total of one span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpanTotal {
-    /// When the span starts.
+    /// Start of the span.
     pub start: Time,
-    /// Bytes sent in it.
+    /// Bytes sent within the span.
     pub bytes: u64,
 }
 
-/// Bytes of one flow over recent spans, and in all.
+/// Byte totals of one flow: one for each recent span, and one for all time.
 #[derive(Clone, Debug)]
-pub struct Windows {
-    seconds: Ring,
-    minutes: Ring,
-    hours: Ring,
-    total: u64,
+pub struct WindowedBytes {
+    seconds: TotalsRing,
+    minutes: TotalsRing,
+    hours: TotalsRing,
+    total_bytes: u64,
 }
 
-impl Default for Windows {
-    fn default() -> Windows {
-        Windows {
-            seconds: Ring::new(SECOND, RETAINED_SECONDS),
-            minutes: Ring::new(MINUTE, RETAINED_MINUTES),
-            hours: Ring::new(HOUR, RETAINED_HOURS),
-            total: 0,
+impl Default for WindowedBytes {
+    fn default() -> WindowedBytes {
+        WindowedBytes {
+            seconds: TotalsRing::new(SECOND, RETAINED_SECONDS),
+            minutes: TotalsRing::new(MINUTE, RETAINED_MINUTES),
+            hours: TotalsRing::new(HOUR, RETAINED_HOURS),
+            total_bytes: 0,
         }
     }
 }
 
-impl Windows {
-    /// Adds bytes that were sent at a time. Bytes older than the retained spans are added to the total only.
+impl WindowedBytes {
+    /// Adds bytes that were sent at a point in time. If the span of that time is no longer retained, they are added only to
+    /// the total for all time.
     pub fn add(&mut self, at: Time, bytes: u64) {
         self.seconds.add(at, bytes);
         self.minutes.add(at, bytes);
         self.hours.add(at, bytes);
-        self.total = self.total.saturating_add(bytes);
+        self.total_bytes = self.total_bytes.saturating_add(bytes);
     }
 
-    /// All bytes ever added.
+    /// Total for all time; it saturates at `u64::MAX`.
     #[must_use]
     pub fn total(&self) -> u64 {
-        self.total
+        self.total_bytes
     }
 
-    /// Replaces the total by one that was saved.
+    /// Replaces the total for all time by a saved one.
     pub(crate) fn set_total(&mut self, total: u64) {
-        self.total = total;
+        self.total_bytes = total;
     }
 
-    /// The recent spans, oldest first.
+    /// The totals of the retained spans of a length, oldest first, including those without bytes.
     #[must_use]
     pub fn recent(&self, span: Span) -> Vec<SpanTotal> {
         match span {
--- a/crates/cross-zone-traffic/src/windows/tests.rs
+++ b/crates/cross-zone-traffic/src/windows/tests.rs
@@ -6,12 +6,12 @@
 
 #[test]
 fn bytes_are_counted_in_their_spans_and_old_spans_are_removed() {
-    let mut windows = Windows::default();
+    let mut windows = WindowedBytes::default();
     let start = 7200;
     windows.add(at(start), 5);
     windows.add(at(start + 61), 7);
     windows.add(at(start + 30), 1); // Late, and counted where it belongs.
-    let bytes_at = |windows: &Windows, span, start: u64| {
+    let bytes_at = |windows: &WindowedBytes, span, start: u64| {
         windows
             .recent(span)
             .into_iter()
@@ -50,7 +50,7 @@
 
 #[test]
 fn totals_are_exact_beyond_what_a_float_holds() {
-    let mut windows = Windows::default();
+    let mut windows = WindowedBytes::default();
     windows.set_total((1 << 53) + 1);
     windows.add(at(1), 1);
     assert_eq!(windows.total(), (1 << 53) + 2);
--- a/crates/cross-zone-traffic/tests/cross_zone_admission.rs
+++ b/crates/cross-zone-traffic/tests/cross_zone_admission.rs
@@ -1,7 +1,8 @@
 //! Many fronts that share a budget without communicating, on one simulated clock. Servers report what crosses, with a delay.
-use crankpaddle_cross_zone_traffic::budget::{Budget, FrontPosition, SharedBudget};
+use crankpaddle_cross_zone_traffic::budget::{FrontBudget, FrontPosition, SharedBudget};
 use crankpaddle_cross_zone_traffic::cross_zone_admission::{
-    CrossZoneAdmission, CrossZoneLimit, CrossZonePolicy, OverdraftCause, PolicyChange, SessionStart,
+    CrossZoneAdmission, CrossZoneLimit, CrossZonePolicy, CrossingSessionStart, OverdraftCause,
+    PolicyChange,
 };
 use crankpaddle_time::Time;
 use oorandom::Rand64;
@@ -33,9 +34,9 @@
     }
 }
 
-fn start(session: u64, class: u8, kb: f64) -> SessionStart {
-    SessionStart {
-        session,
+fn start(session: u64, class: u8, kb: f64) -> CrossingSessionStart {
+    CrossingSessionStart {
+        session_id: session,
         from: 1,
         class,
         rate_kb: kb,
@@ -100,7 +101,7 @@
                 position(index),
                 10.0,
             );
-            front.update_servers(1, (0..SERVERS).collect::<BTreeSet<u32>>());
+            front.set_servers_up(1, (0..SERVERS).collect::<BTreeSet<u32>>());
             front
         };
         Simulation {
@@ -549,7 +550,7 @@
         period: Some(60 * SECOND),
         max_repayment_time: 60 * SECOND,
     };
-    let mut budget = Budget::new(
+    let mut budget = FrontBudget::new(
         shared,
         FrontPosition {
             index: 1,
--- a/crates/cross-zone-traffic/tests/usage_accounting.rs
+++ b/crates/cross-zone-traffic/tests/usage_accounting.rs
@@ -192,7 +192,7 @@
     let mut account = UsageAccount::new(CONFIG);
     account.session_started(1, flow(1, 0), 7, 100.0, at(1000));
     while !account.settle(at(1018), 1) {}
-    account.add_measured(
+    account.add_measured_bytes(
         Flow {
             purpose: Purpose::FailedAttempt,
             ..flow(1, 1)
@@ -280,7 +280,7 @@
         assert!(near(total, truth, 0.0001), "{what}: {total} of {truth}");
         let (_, totals) = account.flows().next().unwrap();
         let by_source = [&totals.measured, &totals.corrected, &totals.estimated]
-            .map(crankpaddle_cross_zone_traffic::windows::Windows::total);
+            .map(crankpaddle_cross_zone_traffic::windows::WindowedBytes::total);
         assert_eq!(
             by_source.iter().sum::<u64>() - totals.overstated_bytes,
             total
--- a/crates/traffic-report/src/lib.rs
+++ b/crates/traffic-report/src/lib.rs
@@ -1,5 +1,4 @@
-//! Reports of traffic between zones for operators: fetched from fronts or loaded from their saved files, and printed as a
-//! table, CSV, or a plot.
+//! Fetches the traffic reports of fronts, or loads them from files, and formats them as tables, CSV or an SVG plot.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod error;
--- a/crates/traffic-report/src/plot.rs
+++ b/crates/traffic-report/src/plot.rs
@@ -1,4 +1,4 @@
-//! A report as a plot: what crossed in recent minutes, by class, beside the budgets.
+//! Plots the rates at which traffic crossed zones in recent minutes, by zone pair and class, together with the budgets.
 use crate::PlotError;
 use crankpaddle_cross_zone_traffic::report::TrafficReport;
 use plotters::chart::ChartContext;
@@ -11,58 +11,60 @@
 use plotters::style::{RGBAColor, ShapeStyle};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Width and height, pixels.
-const SIZE: (u32, u32) = (960, 480);
-const MARGIN: u32 = 12;
-/// Part of the output that users know; they call zones halls.
+/// Width and height, in pixels.
+const PLOT_SIZE_PX: (u32, u32) = (960, 480);
+const MARGIN_PX: u32 = 12;
+/// Part of the documented output, which calls zones halls.
 const CAPTION: &str = "Traffic between halls, kB/s";
 const CAPTION_FONT: (&str, u32) = ("sans-serif", 18);
-const X_LABELS_HEIGHT: u32 = 36;
-const Y_LABELS_WIDTH: u32 = 64;
-/// Length of a line's sample in the legend, pixels.
-const LEGEND_LINE_WIDTH: i32 = 16;
-const LINE_WIDTH: u32 = 2;
+const X_LABELS_HEIGHT_PX: u32 = 36;
+const Y_LABELS_WIDTH_PX: u32 = 64;
+/// Length of the sample of a line in the legend, in pixels.
+const LEGEND_SAMPLE_LENGTH_PX: i32 = 16;
+const LINE_WIDTH_PX: u32 = 2;
 const BUDGET_OPACITY: f64 = 0.5;
 const LEGEND_OPACITY: f64 = 0.8;
-/// The vertical axis exceeds the highest value by this factor.
-const TOP_FACTOR: f64 = 1.1;
-/// The vertical axis covers at least this much, kB a second.
-const MIN_TOP_KB: f64 = 1.0;
-/// The horizontal axis starts at least this much before the last minute, minutes.
-const MAX_START_MINUTES: f64 = -1.0;
+/// Ratio of the end of the vertical axis to the highest value.
+const Y_AXIS_MARGIN_FACTOR: f64 = 1.1;
+/// Minimum for the highest value on the vertical axis, in kB per second.
+const MIN_Y_AXIS_KB: f64 = 1.0;
+/// The horizontal axis starts at this position or further left, in minutes relative to the last minute.
+const MAX_X_AXIS_START_MINUTES: f64 = -1.0;
 
 const MINUTE_MS: u64 = 60_000;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 const BYTES_PER_KB: f64 = 1000.0;
 
-type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+type PlotArea<'a> = DrawingArea<SVGBackend<'a>, Shift>;
+type RateChart<'a, 'b> =
+    ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// A budget as a level line.
+/// A budget, drawn as a horizontal line.
 struct BudgetLine {
     label: String,
     rate_kb: f64,
 }
 
-/// What is drawn.
+/// The data to draw.
 struct PlotData {
-    /// By label: kB a second by the start of the minute, milliseconds since 1970.
+    /// By label, rates in kB per second by the start of the minute, in milliseconds since 1970.
     rate_lines: BTreeMap<String, BTreeMap<u64, f64>>,
     budget_lines: Vec<BudgetLine>,
-    /// Starts of the minutes in which anything crossed, milliseconds since 1970.
+    /// Starts of the minutes with traffic between zones, in milliseconds since 1970.
     minutes_ms: BTreeSet<u64>,
     first_minute_ms: u64,
     last_minute_ms: u64,
 }
 
-/// An SVG of the rates that crossed over recent minutes, one line a class and zone pair, budgets as level lines.
+/// Plots a report as an SVG document: a line for the rates of each zone pair and class over recent minutes, and a horizontal
+/// line for each budget.
 ///
 /// # Errors
-/// Nothing crossed in recent minutes, or the plot could not be drawn.
+/// Fails if the report contains no traffic between zones in recent minutes, or if the plot could not be drawn.
 pub fn svg(report: &TrafficReport) -> Result<String, PlotError> {
     let data = PlotData::new(report)?;
     let mut text = String::new();
-    let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(&mut text, PLOT_SIZE_PX).into_drawing_area();
     draw(&area, &data)?;
     drop(area);
     Ok(text)
@@ -94,25 +96,25 @@
         })
     }
 
-    /// The position of a minute on the horizontal axis: its distance to the last one, in minutes, as a negative number.
-    fn position_minutes(&self, at_ms: u64) -> f64 {
+    /// Position of a minute on the horizontal axis, in minutes relative to the last one; 0 or negative.
+    fn x_position_minutes(&self, at_ms: u64) -> f64 {
         -(((self.last_minute_ms - at_ms) / MINUTE_MS) as f64)
     }
 
-    /// Where the horizontal axis starts, minutes.
-    fn start_minutes(&self) -> f64 {
-        self.position_minutes(self.first_minute_ms)
-            .min(MAX_START_MINUTES)
+    /// Start of the horizontal axis, in minutes relative to the last minute.
+    fn x_axis_start_minutes(&self) -> f64 {
+        self.x_position_minutes(self.first_minute_ms)
+            .min(MAX_X_AXIS_START_MINUTES)
     }
 
-    /// Where the vertical axis ends, kB a second.
-    fn top_kb(&self) -> f64 {
+    /// End of the vertical axis, in kB per second.
+    fn y_axis_end_kb(&self) -> f64 {
         let rates = self
             .rate_lines
             .values()
             .flat_map(|line| line.values().copied());
         let budgets = self.budget_lines.iter().map(|line| line.rate_kb);
-        rates.chain(budgets).fold(MIN_TOP_KB, f64::max) * TOP_FACTOR
+        rates.chain(budgets).fold(MIN_Y_AXIS_KB, f64::max) * Y_AXIS_MARGIN_FACTOR
     }
 }
 
@@ -127,14 +129,14 @@
         .collect()
 }
 
-fn draw(area: &Area<'_>, data: &PlotData) -> Result<(), PlotError> {
+fn draw(area: &PlotArea<'_>, data: &PlotData) -> Result<(), PlotError> {
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(area)
-        .margin(MARGIN)
+        .margin(MARGIN_PX)
         .caption(CAPTION, CAPTION_FONT)
-        .x_label_area_size(X_LABELS_HEIGHT)
-        .y_label_area_size(Y_LABELS_WIDTH)
-        .build_cartesian_2d(data.start_minutes()..0.0, 0.0..data.top_kb())?;
+        .x_label_area_size(X_LABELS_HEIGHT_PX)
+        .y_label_area_size(Y_LABELS_WIDTH_PX)
+        .build_cartesian_2d(data.x_axis_start_minutes()..0.0, 0.0..data.y_axis_end_kb())?;
     chart.configure_mesh().x_desc("minutes ago").draw()?;
     draw_rates(&mut chart, data)?;
     draw_budgets(&mut chart, data)?;
@@ -147,31 +149,34 @@
     Ok(())
 }
 
-fn draw_rates(chart: &mut Chart<'_, '_>, data: &PlotData) -> Result<(), PlotError> {
+fn draw_rates(chart: &mut RateChart<'_, '_>, data: &PlotData) -> Result<(), PlotError> {
     for (index, (label, line)) in data.rate_lines.iter().enumerate() {
         let colour: RGBAColor = Palette99::pick(index).to_rgba();
         let points = data.minutes_ms.iter().map(|at_ms| {
             let rate_kb = line.get(at_ms).copied().unwrap_or(0.0);
-            (data.position_minutes(*at_ms), rate_kb)
+            (data.x_position_minutes(*at_ms), rate_kb)
         });
-        let style = colour.stroke_width(LINE_WIDTH);
+        let style = colour.stroke_width(LINE_WIDTH_PX);
         draw_line(chart, points, label, style)?;
     }
     Ok(())
 }
 
-fn draw_budgets(chart: &mut Chart<'_, '_>, data: &PlotData) -> Result<(), PlotError> {
+fn draw_budgets(chart: &mut RateChart<'_, '_>, data: &PlotData) -> Result<(), PlotError> {
     for line in &data.budget_lines {
-        let points = [(data.start_minutes(), line.rate_kb), (0.0, line.rate_kb)];
+        let points = [
+            (data.x_axis_start_minutes(), line.rate_kb),
+            (0.0, line.rate_kb),
+        ];
         let style = BLACK.mix(BUDGET_OPACITY).into();
         draw_line(chart, points.into_iter(), &line.label, style)?;
     }
     Ok(())
 }
 
-/// Draws a line and its sample in the legend.
+/// Draws a line and adds it to the legend.
 fn draw_line(
-    chart: &mut Chart<'_, '_>,
+    chart: &mut RateChart<'_, '_>,
     points: impl Iterator<Item = (f64, f64)>,
     label: &str,
     style: ShapeStyle,
@@ -179,7 +184,7 @@
     chart
         .draw_series(LineSeries::new(points, style))?
         .label(label)
-        .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_WIDTH, y)], style));
+        .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_SAMPLE_LENGTH_PX, y)], style));
     Ok(())
 }
 
--- a/crates/traffic-report/src/source.rs
+++ b/crates/traffic-report/src/source.rs
@@ -1,4 +1,4 @@
-//! Where reports come from: a front's `GET /traffic`, or the file in which it saves its report.
+//! Obtains reports from a running front (`GET /traffic`), or from the file in which a front saves its report.
 use crate::SourceError;
 use crankpaddle_cross_zone_traffic::report::TrafficReport;
 use crankpaddle_http::body::Body;
@@ -8,15 +8,15 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Longest response that is read, bytes.
+/// Maximum number of bytes that are read of a response.
 const MAX_RESPONSE_BYTES: u64 = 64 << 20;
-/// The status of a successful response.
+/// HTTP status of a successful response.
 const STATUS_OK: u16 = 200;
 
 /// Fetches the report of a running front.
 ///
 /// # Errors
-/// The front does not respond within the timeout, or not with a report.
+/// Fails if the front does not respond within the timeout, or not with a report.
 pub fn fetch(front: &SocketAddr, timeout: Duration) -> Result<TrafficReport, SourceError> {
     let body = get(front, "/traffic", timeout)?;
     Ok(serde_json::from_slice(&body)?)
@@ -25,35 +25,36 @@
 /// Loads the report that a front saved.
 ///
 /// # Errors
-/// The file can't be read or holds no report.
+/// Fails if the file can't be read or does not contain a report.
 pub fn load(path: &Path) -> Result<TrafficReport, SourceError> {
     let contents = std::fs::read(path)?;
     Ok(serde_json::from_slice(&contents)?)
 }
 
-/// The body of a running front's response at a path.
+/// Sends a `GET` request for a path to a running front and returns the body of its response.
 ///
 /// # Errors
-/// The front does not respond within the timeout, or not with status 200.
+/// Fails if the front does not respond within the timeout, or not with status 200.
 pub fn get(front: &SocketAddr, path: &str, timeout: Duration) -> Result<Vec<u8>, SourceError> {
-    let response = exchange(front, path, timeout)?;
+    let response = send_request(front, path, timeout)?;
     parse_body(&response)
 }
 
-/// Sends a request and reads until the front closes the connection; each step within the timeout.
-fn exchange(front: &SocketAddr, path: &str, timeout: Duration) -> Result<Vec<u8>, SourceError> {
+/// Sends a request and reads the response until the front closes the connection. The timeout applies to the connection, and
+/// to each read and write.
+fn send_request(front: &SocketAddr, path: &str, timeout: Duration) -> Result<Vec<u8>, SourceError> {
     let mut stream = TcpStream::connect_timeout(front, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
     stream.set_write_timeout(Some(timeout))?;
-    let close = [("connection", "close")];
-    let request = head::request("GET", path, &front.to_string(), &close, b"");
+    let headers = [("connection", "close")];
+    let request = head::request("GET", path, &front.to_string(), &headers, b"");
     stream.write_all(&request)?;
     let mut response = Vec::new();
     stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut response)?;
     Ok(response)
 }
 
-/// The body of a complete response with status 200.
+/// Extracts the body of a complete response with status 200.
 fn parse_body(bytes: &[u8]) -> Result<Vec<u8>, SourceError> {
     let parsed = Response::parse(bytes).map_err(SourceError::InvalidHttp)?;
     let Some((response, head_length)) = parsed else {
--- a/crates/traffic-report/src/source/tests.rs
+++ b/crates/traffic-report/src/source/tests.rs
@@ -1,36 +1,36 @@
 use super::*;
 use std::net::TcpListener;
 
-/// A server that responds to one request with these bytes.
+/// Starts a server that responds to one request with `bytes`, and returns its address.
 fn serve_once(bytes: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut request = [0u8; 512];
-        let _ = stream.read(&mut request); // The request does not matter here.
+        let _ = stream.read(&mut request); // The content of the request is not checked.
         stream.write_all(bytes).unwrap();
     });
     address
 }
 
 #[test]
-fn a_response_without_a_report_is_an_error_and_never_taken_for_an_empty_report() {
+fn a_response_without_a_report_is_an_error_and_not_an_empty_report() {
     for (bytes, expected) in [
         (
             &b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n"[..],
-            "status 503",
+            "unexpected HTTP status 503",
         ),
         (
             b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}",
-            "is no report",
+            "not a traffic report",
         ),
         (
             b"HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n{\"front\":",
-            "broke off",
+            "incomplete HTTP response",
         ),
-        (b"HTTP/1.1 200", "broke off"),
-        (b"nonsense\r\n\r\n", "no HTTP"),
+        (b"HTTP/1.1 200", "incomplete HTTP response"),
+        (b"nonsense\r\n\r\n", "invalid HTTP response"),
     ] {
         let error = fetch(&serve_once(bytes), Duration::from_secs(5))
             .unwrap_err()
--- a/crates/traffic-report/src/text.rs
+++ b/crates/traffic-report/src/text.rs
@@ -1,13 +1,13 @@
-//! Reports as text: tables to read, and CSV to process.
+//! Formats reports as text: tables for people, and CSV for further processing.
 use crankpaddle_cross_zone_traffic::report::{BudgetReport, ByteTotals, FlowReport, TrafficReport};
 
-/// Units of byte counts, each 1,000 times the previous one.
+/// Units of byte counts. Each one is 1,000 times the previous one.
 const BYTE_UNITS: [&str; 6] = ["B", "kB", "MB", "GB", "TB", "PB"];
-const UNIT_FACTOR: f64 = 1000.0;
-/// The least rate that usage is divided by, kB a second; a budget may be 0.
+const BYTE_UNIT_FACTOR: f64 = 1000.0;
+/// Lower bound of the divisor when usage is divided by a budget's rate, in kB per second, because that rate may be 0.
 const MIN_BUDGET_RATE_KB: f64 = 1e-9;
 
-// The printed columns and words are those of the users' documentation and stay as they are.
+// The column headings match the user documentation and must not change.
 const FLOW_COLUMNS: [&str; 9] = [
     "FROM",
     "TO",
@@ -37,12 +37,12 @@
 const CSV_HEADER: &str = "from,to,class,tenant,group,purpose,crosses,hour_ms,bytes,measured_bytes,\
                           corrected_bytes,estimated_bytes,overstated_bytes";
 
-/// Bytes in the largest unit in which they are at least 1.
+/// Formats a byte count in the largest unit in which it is at least 1.
 fn readable_bytes(bytes: u64) -> String {
     let mut value = bytes as f64;
     let mut unit = 0;
-    while value >= UNIT_FACTOR && unit + 1 < BYTE_UNITS.len() {
-        value /= UNIT_FACTOR;
+    while value >= BYTE_UNIT_FACTOR && unit + 1 < BYTE_UNITS.len() {
+        value /= BYTE_UNIT_FACTOR;
         unit += 1;
     }
     if unit == 0 {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Rows under a header, each column as wide as its widest cell.
+/// Formats a header and rows, with each column as wide as its widest cell.
 fn aligned_columns(header: &[&str], rows: &[Vec<String>]) -> String {
     let header: Vec<String> = header.iter().map(|cell| (*cell).to_owned()).collect();
     let widths = column_widths(&header, rows);
@@ -84,7 +84,7 @@
     if text.is_empty() { "-" } else { text }.to_owned()
 }
 
-/// The flows and budgets as tables, and what is not settled yet.
+/// Formats the flows and budgets as tables, followed by the numbers of unsettled sessions and of dropped counts.
 #[must_use]
 pub fn table(report: &TrafficReport) -> String {
     let flow_rows: Vec<_> = report.flows.iter().map(flow_row).collect();
@@ -115,7 +115,7 @@
     ]
 }
 
-/// The fraction of a flow's bytes that servers counted, 0 to 1.
+/// The fraction of a flow's bytes that servers counted, 0 to 1. Overstated bytes are not part of it.
 fn measured_fraction(flow: &FlowReport) -> f64 {
     let measured = flow.measured_bytes.saturating_sub(flow.overstated_bytes);
     (measured as f64 / flow.bytes.max(1) as f64).min(1.0)
@@ -150,17 +150,20 @@
     100.0 * (used_kb / budget.rate_kb.max(MIN_BUDGET_RATE_KB))
 }
 
-/// One line for each budget and its present use.
+/// Formats the current usage of each budget on a line. Without budgets, returns one line with all bytes that crossed zones.
 #[must_use]
 pub fn watch_line(report: &TrafficReport) -> String {
     if report.budgets.is_empty() {
-        let crossed: u64 = report
+        let crossed_bytes: u64 = report
             .flows
             .iter()
             .filter(|flow| flow.crosses)
             .map(|flow| flow.bytes)
             .sum();
-        return format!("no budgets; crossed so far {}", readable_bytes(crossed));
+        return format!(
+            "no budgets; crossed so far {}",
+            readable_bytes(crossed_bytes)
+        );
     }
     let lines: Vec<String> = report.budgets.iter().map(budget_line).collect();
     lines.join("\n")
@@ -172,7 +175,7 @@
     } else {
         format!(" {}", budget.class)
     };
-    let overdraft = budget.overdraft_zone_down_bytes + budget.overdraft_zone_full_bytes;
+    let overdraft_bytes = budget.overdraft_zone_down_bytes + budget.overdraft_zone_full_bytes;
     format!(
         "{} > {}{class}: paid {:.0} rest {:.0} of {:.0} kB/s ({:.0}%), over {}, lowered {}",
         budget.from,
@@ -181,13 +184,13 @@
         budget.other_kb,
         budget.rate_kb,
         used_percent(budget),
-        readable_bytes(overdraft),
+        readable_bytes(overdraft_bytes),
         budget.capped_sessions
     )
 }
 
-/// A CSV cell, quoted where RFC 4180 requires it.
-fn quoted(cell: &str) -> String {
+/// Formats a CSV cell, which is quoted if RFC 4180 requires it.
+fn csv_cell(cell: &str) -> String {
     if cell.contains([',', '"', '\n', '\r']) {
         format!("\"{}\"", cell.replace('"', "\"\""))
     } else {
@@ -195,19 +198,24 @@
     }
 }
 
-/// Bytes of each flow in all (without an hour) and by hour, as CSV according to RFC 4180.
+/// Formats the flows as CSV according to RFC 4180: for each flow, a row with its totals, in which the hour is empty, and a row
+/// for each recent hour.
 #[must_use]
 pub fn csv(report: &TrafficReport) -> String {
     let mut lines = vec![CSV_HEADER.to_owned()];
     for flow in &report.flows {
-        let names = csv_names(flow);
-        lines.push(csv_total(&names, flow));
-        lines.extend(flow.hours.iter().map(|hour| csv_hour(&names, flow, hour)));
+        let name_cells = csv_name_cells(flow);
+        lines.push(csv_total_row(&name_cells, flow));
+        lines.extend(
+            flow.hours
+                .iter()
+                .map(|hour| csv_hour_row(&name_cells, flow, hour)),
+        );
     }
     lines.join("\r\n") + "\r\n"
 }
 
-fn csv_names(flow: &FlowReport) -> String {
+fn csv_name_cells(flow: &FlowReport) -> String {
     [
         &flow.from,
         &flow.to,
@@ -216,23 +224,29 @@
         &flow.group,
         &flow.purpose,
     ]
-    .map(|name| quoted(name))
+    .map(|name| csv_cell(name))
     .join(",")
 }
 
-fn csv_total(names: &str, flow: &FlowReport) -> String {
-    let by_source = [
+fn csv_total_row(name_cells: &str, flow: &FlowReport) -> String {
+    let bytes_by_source = [
         flow.measured_bytes,
         flow.corrected_bytes,
         flow.estimated_bytes,
         flow.overstated_bytes,
     ];
-    let by_source = by_source.map(|bytes| bytes.to_string()).join(",");
-    format!("{names},{},,{},{by_source}", flow.crosses, flow.bytes)
+    let source_cells = bytes_by_source.map(|bytes| bytes.to_string()).join(",");
+    format!(
+        "{name_cells},{},,{},{source_cells}",
+        flow.crosses, flow.bytes
+    )
 }
 
-fn csv_hour(names: &str, flow: &FlowReport, hour: &ByteTotals) -> String {
-    format!("{names},{},{},{},,,,", flow.crosses, hour.at_ms, hour.bytes)
+fn csv_hour_row(name_cells: &str, flow: &FlowReport, hour: &ByteTotals) -> String {
+    format!(
+        "{name_cells},{},{},{},,,,",
+        flow.crosses, hour.at_ms, hour.bytes
+    )
 }
 
 #[cfg(test)]
--- a/crates/traffic-report/tests/printed_bytes.rs
+++ b/crates/traffic-report/tests/printed_bytes.rs
@@ -1,4 +1,4 @@
-//! Pins the printed texts and the plot of a report, to the byte.
+//! Checks that the printed texts and the plot of a report stay the same byte for byte, by their digests.
 use crankpaddle_cross_zone_traffic::report::{BudgetReport, ByteTotals, FlowReport, TrafficReport};
 use crankpaddle_traffic_report::{csv, load, svg, table, watch_line};
 
@@ -12,8 +12,8 @@
 }
 
 fn flow(from: &str, class: &str, scale: u64) -> FlowReport {
-    let spans = |count: u64, length_ms: u64| {
-        (1..count)
+    let spans = |end: u64, length_ms: u64| {
+        (1..end)
             .map(|n| ByteTotals {
                 at_ms: n * length_ms * scale,
                 bytes: 6_543_210 * n * scale,
@@ -72,21 +72,21 @@
 }
 
 #[test]
-fn texts_and_plot_are_the_same_to_the_byte() {
+fn texts_and_plot_stay_the_same_byte_for_byte() {
     let report = report();
-    let none = TrafficReport::default();
+    let empty_report = TrafficReport::default();
     assert_eq!(
-        svg(&none).unwrap_err().to_string(),
-        "nothing crossed in late minutes"
+        svg(&empty_report).unwrap_err().to_string(),
+        "no traffic between zones in recent minutes"
     );
     let texts = [
         table(&report),
         csv(&report),
         watch_line(&report),
         svg(&report).unwrap(),
-        table(&none),
-        csv(&none),
-        watch_line(&none),
+        table(&empty_report),
+        csv(&empty_report),
+        watch_line(&empty_report),
     ];
     assert_eq!(
         texts.map(|text| digest(&text)),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_file_that_holds_no_report_is_an_error_with_the_same_text() {
+fn a_file_without_a_report_is_an_error_with_a_fixed_text() {
     let directory = std::env::temp_dir().join(format!("traffic-report-{}", std::process::id()));
     std::fs::create_dir_all(&directory).unwrap();
     let path = directory.join("report");
@@ -115,7 +115,7 @@
         [absent.as_str(), malformed.as_str()],
         [
             "No such file or directory (os error 2)",
-            "is no report of traffic: missing field `front` at line 1 column 2"
+            "not a traffic report: missing field `front` at line 1 column 2"
         ]
     );
 }
