--- a/crates/cross-zone-traffic/src/quota_share/tests.rs
+++ b/crates/cross-zone-traffic/src/quota_share/tests.rs
@@ -9,85 +9,89 @@
 }
 
 #[test]
-fn a_quota_grows_only_with_demand_and_reports_and_falls_at_once() {
-    let mut share = AdaptiveQuota::new(0.1);
+fn a_quota_grows_only_with_demand_and_reports_and_is_reduced_at_once() {
+    let mut adaptive_quota = AdaptiveQuota::new(0.1);
     assert_eq!(
-        share.update(at(1), 0.1, observed(at(1), 0.1)),
+        adaptive_quota.update(at(1), 0.1, observed(at(1), 0.1)),
         0.1,
-        "there is no demand"
+        "without demand, the quota must not grow"
     );
-    share.record_demand(at(1));
-    let first = share.update(at(1), 0.1, observed(at(1), 0.1));
-    assert!(first > 0.1 && first < 0.11, "{first}");
+    adaptive_quota.record_demand(at(1));
+    let grown = adaptive_quota.update(at(1), 0.1, observed(at(1), 0.1));
+    assert!(grown > 0.1 && grown < 0.11, "{grown}");
     assert_eq!(
-        share.update(at(2), first, None),
+        adaptive_quota.update(at(2), grown, None),
         0.1,
-        "without reports an equal quota"
+        "without reports, the quota must be an equal one"
     );
-    for step in 2..600 {
-        share.record_demand(at(step));
-        let own = share.quota;
-        share.update(at(step), own, observed(at(step), own));
+    for second in 2..600 {
+        adaptive_quota.record_demand(at(second));
+        let own_usage = adaptive_quota.quota;
+        adaptive_quota.update(at(second), own_usage, observed(at(second), own_usage));
     }
     assert!(
-        share.quota > 0.9 && share.exceeds_equal_quota(),
+        adaptive_quota.quota > 0.9 && adaptive_quota.exceeds_equal_quota(),
         "{}",
-        share.quota
+        adaptive_quota.quota
     );
-    let reduced = share.update(at(600), 0.9, observed(at(600), 1.2));
+    let reduced = adaptive_quota.update(at(600), 0.9, observed(at(600), 1.2));
     assert!(
         (0.7..0.85).contains(&reduced),
-        "its share of what is over: {reduced}"
+        "must be reduced to its proportion of the usage: {reduced}"
     );
-    let given_back: Vec<f64> = (690..790)
-        .map(|s| share.update(at(s), 0.3, observed(at(s), 0.3)))
+    let quotas_without_demand: Vec<f64> = (690..790)
+        .map(|second| adaptive_quota.update(at(second), 0.3, observed(at(second), 0.3)))
         .collect();
     assert!(
-        given_back.windows(2).all(|w| w[1] <= w[0]) && given_back[60] < 0.32,
-        "{given_back:?}"
+        quotas_without_demand
+            .windows(2)
+            .all(|pair| pair[1] <= pair[0])
+            && quotas_without_demand[60] < 0.32,
+        "{quotas_without_demand:?}"
     );
     let last = (790..900)
-        .map(|s| share.update(at(s), 0.0, observed(at(s), 0.0)))
+        .map(|second| adaptive_quota.update(at(second), 0.0, observed(at(second), 0.0)))
         .last();
     assert_eq!(last, Some(0.1));
 }
 
 #[test]
-fn all_fronts_together_take_no_more_than_a_share_of_the_headroom_in_a_step() {
-    for (fronts, uses) in [
+fn all_fronts_together_take_a_bounded_fraction_of_the_headroom_in_an_update() {
+    for (front_count, usages) in [
         (3, vec![0.4, 0.2, 0.0]),
         (40, vec![0.02; 40]),
         (240, vec![0.003; 240]),
     ] {
-        let equal = 1.0 / f64::from(fronts);
-        let all: f64 = uses.iter().sum();
-        let grown: f64 = uses
+        let equal_quota = 1.0 / f64::from(front_count);
+        let total_usage: f64 = usages.iter().sum();
+        let total_growth: f64 = usages
             .iter()
-            .map(|own| {
-                let mut share = AdaptiveQuota::new(equal);
-                share.record_demand(at(1));
-                share.update(at(1), *own, observed(at(1), all)) - equal
+            .map(|own_usage| {
+                let mut adaptive_quota = AdaptiveQuota::new(equal_quota);
+                adaptive_quota.record_demand(at(1));
+                adaptive_quota.update(at(1), *own_usage, observed(at(1), total_usage)) - equal_quota
             })
             .sum();
         assert!(
-            grown > 0.0 && grown <= GROWTH_PER_UPDATE * (1.0 - all) + 1e-9,
-            "{fronts}: {grown}"
+            total_growth > 0.0 && total_growth <= GROWTH_PER_UPDATE * (1.0 - total_usage) + 1e-9,
+            "{front_count} fronts: {total_growth}"
         );
     }
 }
 
 #[test]
-fn reports_count_only_when_every_server_reported_recently() {
+fn the_total_is_known_only_if_every_server_reported_recently() {
     let mut reports = UsageReports::default();
-    let kb = |kb: f64| BTreeMap::from([(0u8, kb), (1, 10.0 * kb)]);
-    reports.record(1, at(10), kb(5.0));
+    let rates = |rate_kb: f64| BTreeMap::from([(0u8, rate_kb), (1, 10.0 * rate_kb)]);
+    reports.record(1, at(10), rates(5.0));
     assert_eq!(reports.total(at(11), [1, 2].into_iter(), |_| true), None);
-    reports.record(2, at(11), kb(1.0));
+    reports.record(2, at(11), rates(1.0));
     assert_eq!(
-        reports.total(at(11), [1, 2].into_iter(), |c| c == 0),
+        reports.total(at(11), [1, 2].into_iter(), |class| class == 0),
         observed(at(10), 6.0)
     );
-    reports.record(1, at(9), kb(100.0)); // Overtaken on its way.
+    // A report that arrives after a later one is ignored.
+    reports.record(1, at(9), rates(100.0));
     assert_eq!(
         reports.total(at(11), [1, 2].into_iter(), |_| true),
         observed(at(10), 66.0)
@@ -95,7 +99,7 @@
     assert_eq!(
         reports.total(at(14), [1, 2].into_iter(), |_| true),
         None,
-        "too old"
+        "the reports are too old"
     );
     reports.remove_server(1);
     assert_eq!(
--- a/crates/cross-zone-traffic/src/windows/tests.rs
+++ b/crates/cross-zone-traffic/src/windows/tests.rs
@@ -5,12 +5,12 @@
 }
 
 #[test]
-fn bytes_are_counted_in_their_spans_and_old_spans_are_removed() {
+fn bytes_are_counted_in_their_spans_and_old_spans_are_dropped() {
     let mut windows = WindowedBytes::default();
     let start = 7200;
     windows.add(at(start), 5);
     windows.add(at(start + 61), 7);
-    windows.add(at(start + 30), 1); // Late, and counted where it belongs.
+    windows.add(at(start + 30), 1); // Added late, but counted in its own span.
     let bytes_at = |windows: &WindowedBytes, span, start: u64| {
         windows
             .recent(span)
@@ -34,7 +34,7 @@
             .sum::<u64>(),
         2
     );
-    windows.add(at(start), 100); // Too old for its second.
+    windows.add(at(start), 100); // Its second is no longer retained.
     assert_eq!(
         (
             windows
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn totals_are_exact_beyond_what_a_float_holds() {
+fn totals_are_exact_beyond_the_integers_that_a_float_can_represent() {
     let mut windows = WindowedBytes::default();
     windows.set_total((1 << 53) + 1);
     windows.add(at(1), 1);
     assert_eq!(windows.total(), (1 << 53) + 2);
     windows.set_total(u64::MAX);
     windows.add(at(1), 1);
-    assert_eq!(windows.total(), u64::MAX, "the total saturates");
+    assert_eq!(windows.total(), u64::MAX, "the total must saturate");
 }
--- a/crates/cross-zone-traffic/tests/cross_zone_admission.rs
+++ b/crates/cross-zone-traffic/tests/cross_zone_admission.rs
@@ -1,4 +1,5 @@
-//! Many fronts that share a budget without communicating, on one simulated clock. Servers report what crosses, with a delay.
+//! Tests of cross-zone admission. Most simulate several fronts that share a budget without communicating, while servers
+//! report the usage of all fronts after a delay.
 use crankpaddle_cross_zone_traffic::budget::{FrontBudget, FrontPosition, SharedBudget};
 use crankpaddle_cross_zone_traffic::cross_zone_admission::{
     CrossZoneAdmission, CrossZoneLimit, CrossZonePolicy, CrossingSessionStart, OverdraftCause,
@@ -12,7 +13,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 const RATE_KB: f64 = 40_000.0;
-/// Thirty seconds of the rate: with 240 fronts a quota of it is still some sessions.
+/// The burst is 30 seconds of the rate, so that an equal quota of it among 240 fronts still holds some sessions.
 const SHARED: SharedBudget = SharedBudget {
     rate_kb: RATE_KB,
     burst_bytes: 1.2e9,
@@ -20,8 +21,8 @@
     period: None,
     max_repayment_time: Duration::from_secs(60),
 };
-/// Rates that sessions request.
-const KB: [f64; 3] = [100.0, 250.0, 600.0];
+/// Rates of the rungs that sessions request, in kB per second.
+const RUNG_RATES_KB: [f64; 3] = [100.0, 250.0, 600.0];
 const PREVIEW: u8 = 0;
 const PAID: u8 = 1;
 const SERVERS: u32 = 10;
@@ -34,13 +35,13 @@
     }
 }
 
-fn start(session: u64, class: u8, kb: f64) -> CrossingSessionStart {
+fn session_start(session_id: u64, class: u8, rate_kb: f64) -> CrossingSessionStart {
     CrossingSessionStart {
-        session_id: session,
+        session_id,
         from: 1,
         class,
-        rate_kb: kb,
-        lowest_rate_kb: KB[0],
+        rate_kb,
+        lowest_rate_kb: RUNG_RATES_KB[0],
         overdraft_cause: OverdraftCause::LocalZoneDown,
     }
 }
@@ -65,27 +66,31 @@
     )
 }
 
-struct Playing {
-    end: Time,
+/// A session that crosses zones.
+struct SimulatedSession {
+    ends_at: Time,
     front: usize,
     server: u32,
-    session: u64,
+    session_id: u64,
     class: u8,
-    kb: f64,
+    rate_kb: f64,
 }
 
+/// Fronts whose viewers request sessions from servers of zone 1.
 struct Simulation {
     fronts: Vec<CrossZoneAdmission>,
-    playing: Vec<Playing>,
-    reports: VecDeque<(Time, Vec<BTreeMap<u8, f64>>)>, // When sent, and by server.
-    delay: Duration,
-    rng: Rand64,
-    next: u64,
+    sessions: Vec<SimulatedSession>,
+    /// Reports on their way: when they were sent, and the rates by server and class.
+    reports: VecDeque<(Time, Vec<BTreeMap<u8, f64>>)>,
+    report_delay: Duration,
+    random: Rand64,
+    last_session_id: u64,
     now: Time,
-    // What crossed in all, held against the whole budget by the same algorithm: bytes ahead, and the most of them over
-    // the burst since it was last cleared. At 1 the fronts together have just used the burst that they may.
-    ahead: f64,
-    worst: f64,
+    /// Bytes by which all fronts together are ahead of the rate of the whole budget, by the leaky-bucket algorithm.
+    debt_bytes: f64,
+    /// Maximum of `debt_bytes` since this field was last reset, as a fraction of the burst. At 1, the fronts together have used
+    /// exactly the burst of the budget.
+    peak_burst_usage: f64,
 }
 
 impl Simulation {
@@ -106,107 +111,112 @@
         };
         Simulation {
             fronts: (0..fronts).map(front).collect(),
-            playing: vec![],
+            sessions: vec![],
             reports: VecDeque::new(),
-            delay: 3 * SECOND / 2,
-            rng: Rand64::new(seed.into()),
-            next: 0,
+            report_delay: 3 * SECOND / 2,
+            random: Rand64::new(seed.into()),
+            last_session_id: 0,
             now: Time::ZERO + 1000 * SECOND,
-            ahead: 0.0,
-            worst: 0.0,
+            debt_bytes: 0.0,
+            peak_burst_usage: 0.0,
         }
     }
 
-    /// Servers report what they carry; fronts that observe the zone receive it after the delay.
-    fn report(&mut self) {
+    /// Servers report the rates that they send. Fronts that observe the zone receive the reports after the delay.
+    fn send_reports(&mut self) {
         let mut by_server = vec![BTreeMap::new(); SERVERS as usize];
-        for p in &self.playing {
-            *by_server[p.server as usize].entry(p.class).or_insert(0.0) += p.kb;
+        for session in &self.sessions {
+            *by_server[session.server as usize]
+                .entry(session.class)
+                .or_insert(0.0) += session.rate_kb;
         }
         self.reports.push_back((self.now, by_server));
         while self
             .reports
             .front()
-            .is_some_and(|(at, _)| *at + self.delay <= self.now)
+            .is_some_and(|(at, _)| *at + self.report_delay <= self.now)
         {
             let Some((at, by_server)) = self.reports.pop_front() else {
                 break;
             };
             for front in &mut self.fronts {
                 if front.zones_observed(self.now).contains(&1) {
-                    for (server, kb) in by_server.iter().enumerate() {
-                        front.usage_reported(1, server as u32, at, kb.clone());
+                    for (server, rate_kb_by_class) in by_server.iter().enumerate() {
+                        front.usage_reported(1, server as u32, at, rate_kb_by_class.clone());
                     }
                 }
             }
         }
     }
 
-    /// Advances in steps of 100 ms. `requests`: how many sessions a second request to cross; `paid`: the share of paid ones;
-    /// `pick`: the front. Returns the bytes that crossed, paid and others.
+    /// Advances the simulation in steps of 100 ms. `requests_per_second` sessions request to cross, of which `paid_fraction`
+    /// are paid; `pick_front` chooses the front of each one. Returns the bytes that crossed, of paid and of other sessions.
     fn run(
         &mut self,
         seconds: u64,
-        requests: f64,
-        paid: f64,
-        pick: impl Fn(f64, usize) -> usize,
+        requests_per_second: f64,
+        paid_fraction: f64,
+        pick_front: impl Fn(f64, usize) -> usize,
     ) -> (f64, f64) {
         let mut bytes = (0.0, 0.0);
         for step in 0..seconds * 10 {
             self.now += SECOND / 10;
             let now = self.now;
             let fronts = &mut self.fronts;
-            self.playing.retain(|p| {
-                let on = p.end > now;
-                if !on {
-                    fronts[p.front].session_ended(now, p.session);
+            self.sessions.retain(|session| {
+                let is_active = session.ends_at > now;
+                if !is_active {
+                    fronts[session.front].session_ended(now, session.session_id);
                 }
-                on
+                is_active
             });
-            let mut due = requests / 10.0;
-            while due > 0.0 {
-                if due >= 1.0 || self.rng.rand_float() < due {
-                    self.request(paid, &pick);
+            let mut requests_due = requests_per_second / 10.0;
+            while requests_due > 0.0 {
+                if requests_due >= 1.0 || self.random.rand_float() < requests_due {
+                    self.request_session(paid_fraction, &pick_front);
                 }
-                due -= 1.0;
+                requests_due -= 1.0;
             }
             if step % 10 == 0 {
-                self.report();
+                self.send_reports();
             }
-            // Each front ticks at a time of its own within the second.
+            // The fronts tick once a second each, at different times.
             let mut capped = BTreeSet::new();
-            for (n, front) in self.fronts.iter_mut().enumerate() {
-                if n as u64 % 10 == step % 10 {
+            for (index, front) in self.fronts.iter_mut().enumerate() {
+                if index as u64 % 10 == step % 10 {
                     capped.extend(front.tick(now).cap);
                 }
             }
-            self.playing
+            self.sessions
                 .iter_mut()
-                .filter(|p| capped.contains(&p.session))
-                .for_each(|p| p.kb = KB[0]);
-            let (mut all_paid, mut all_rest) = (0.0, 0.0);
-            for p in &self.playing {
-                *(if p.class == PAID {
-                    &mut all_paid
+                .filter(|session| capped.contains(&session.session_id))
+                .for_each(|session| session.rate_kb = RUNG_RATES_KB[0]);
+            let (mut paid_kb, mut other_kb) = (0.0, 0.0);
+            for session in &self.sessions {
+                *(if session.class == PAID {
+                    &mut paid_kb
                 } else {
-                    &mut all_rest
-                }) += p.kb;
+                    &mut other_kb
+                }) += session.rate_kb;
             }
-            self.ahead = (self.ahead + (all_paid + all_rest - RATE_KB) * 100.0).max(0.0);
-            self.worst = self.worst.max(self.ahead / SHARED.burst_bytes);
-            bytes = (bytes.0 + all_paid * 100.0, bytes.1 + all_rest * 100.0);
+            self.debt_bytes = (self.debt_bytes + (paid_kb + other_kb - RATE_KB) * 100.0).max(0.0);
+            self.peak_burst_usage = self
+                .peak_burst_usage
+                .max(self.debt_bytes / SHARED.burst_bytes);
+            bytes = (bytes.0 + paid_kb * 100.0, bytes.1 + other_kb * 100.0);
         }
         bytes
     }
 
-    fn request(&mut self, paid: f64, pick: &impl Fn(f64, usize) -> usize) {
-        let front = pick(self.rng.rand_float(), self.fronts.len());
-        let class = if self.rng.rand_float() < paid {
+    /// Requests one session; it starts unless the policy of its front forbids it.
+    fn request_session(&mut self, paid_fraction: f64, pick_front: &impl Fn(f64, usize) -> usize) {
+        let front = pick_front(self.random.rand_float(), self.fronts.len());
+        let class = if self.random.rand_float() < paid_fraction {
             PAID
         } else {
             PREVIEW
         };
-        let kb = KB[self.rng.rand_range(0..3) as usize];
+        let rate_kb = RUNG_RATES_KB[self.random.rand_range(0..3) as usize];
         self.fronts[front].session_requested(self.now, class);
         let policy = self.fronts[front].policy(self.now, 1, class);
         if policy == CrossZonePolicy::Forbidden {
@@ -214,145 +224,172 @@
         }
         assert!(
             policy == CrossZonePolicy::Allowed || class == PAID,
-            "only paid sessions go beyond the budget"
+            "only paid sessions may exceed the budget"
         );
-        self.next += 1;
-        self.fronts[front].session_started(self.now, start(self.next, class, kb));
-        let length = -12.0 * (1.0 - self.rng.rand_float()).ln() * NANOSECONDS_PER_SECOND;
-        let server = (self.next % u64::from(SERVERS)) as u32;
-        self.playing.push(Playing {
-            end: self.now + Duration::from_nanos(length as u64),
+        self.last_session_id += 1;
+        self.fronts[front].session_started(
+            self.now,
+            session_start(self.last_session_id, class, rate_kb),
+        );
+        let length_nanoseconds =
+            -12.0 * (1.0 - self.random.rand_float()).ln() * NANOSECONDS_PER_SECOND;
+        let server = (self.last_session_id % u64::from(SERVERS)) as u32;
+        self.sessions.push(SimulatedSession {
+            ends_at: self.now + Duration::from_nanos(length_nanoseconds as u64),
             front,
             server,
-            session: self.next,
+            session_id: self.last_session_id,
             class,
-            kb,
+            rate_kb,
         });
     }
 
-    /// The share of the budget that previews use over a time.
-    fn share(&mut self, seconds: u64, requests: f64, pick: impl Fn(f64, usize) -> usize) -> f64 {
-        self.worst = 0.0;
-        self.run(seconds, requests, 0.0, pick).1 / (RATE_KB * 1000.0 * seconds as f64)
+    /// Resets the peak and runs the simulation with previews only. Returns the fraction of the budget that they use.
+    fn budget_usage(
+        &mut self,
+        seconds: u64,
+        requests_per_second: f64,
+        pick_front: impl Fn(f64, usize) -> usize,
+    ) -> f64 {
+        self.peak_burst_usage = 0.0;
+        self.run(seconds, requests_per_second, 0.0, pick_front).1
+            / (RATE_KB * 1000.0 * seconds as f64)
     }
 }
 
-fn even(dice: f64, fronts: usize) -> usize {
-    (dice * fronts as f64) as usize
+/// Picks the last front.
+fn last_front(_: f64, front_count: usize) -> usize {
+    front_count - 1
+}
+
+/// Picks one of all fronts with equal probability, from a random number between 0 and 1.
+fn any_front(random: f64, front_count: usize) -> usize {
+    (random * front_count as f64) as usize
 }
 
 #[test]
-fn all_fronts_together_use_the_budget_within_5_in_100_when_more_is_requested() {
+fn all_fronts_together_use_the_budget_within_5_percent_when_more_is_requested() {
     for fronts in [3u32, 40, 240] {
         let mut simulation = Simulation::new(fronts, SHARED, u64::from(fronts));
-        simulation.run(120, 60.0, 0.0, even); // Quotas fill up.
-        let used = simulation.share(600, 60.0, even);
+        simulation.run(120, 60.0, 0.0, any_front); // Until the fronts use up their quotas.
+        let used = simulation.budget_usage(600, 60.0, any_front);
         println!(
-            "even, {fronts} fronts: {used:.3} of the budget, {:.3} of the burst",
-            simulation.worst
+            "even load, {fronts} fronts: {used:.3} of the budget, peak {:.3} of the burst",
+            simulation.peak_burst_usage
         );
         assert!((0.95..=1.05).contains(&used), "{fronts} fronts: {used:.3}");
     }
 }
 
 #[test]
-fn a_load_on_one_front_or_skewed_uses_the_budget_too() {
+fn a_load_that_is_skewed_or_on_one_front_uses_the_budget_too() {
     for fronts in [3u32, 40, 240] {
-        let skewed = |d: f64, n: usize| even(d * d * d, n);
-        for (what, pick) in [
-            ("on one", (|_, _| 0) as fn(f64, usize) -> usize),
+        let skewed =
+            |random: f64, front_count: usize| any_front(random * random * random, front_count);
+        for (load, pick_front) in [
+            ("one front", (|_, _| 0) as fn(f64, usize) -> usize),
             ("skewed", skewed),
         ] {
             let mut simulation = Simulation::new(fronts, SHARED, 7);
-            simulation.run(900, 60.0, 0.0, pick); // Small quotas grow slowly where many share the load.
-            let used = simulation.share(600, 60.0, pick);
+            simulation.run(900, 60.0, 0.0, pick_front); // Small quotas grow slowly if many fronts share the load.
+            let used = simulation.budget_usage(600, 60.0, pick_front);
             println!(
-                "{what}, {fronts} fronts: {used:.3} of the budget, {:.3} of the burst",
-                simulation.worst
+                "{load} load, {fronts} fronts: {used:.3} of the budget, peak {:.3} of the burst",
+                simulation.peak_burst_usage
             );
-            // A quota of one session that is rarely requested leaves gaps: with 240 fronts a skewed load uses less.
-            let least = if fronts == 240 && what == "skewed" {
+            // With 240 fronts and a skewed load, many fronts have a quota of about one session, which is rarely requested, so
+            // the usage is lower.
+            let min_usage = if fronts == 240 && load == "skewed" {
                 0.9
             } else {
                 0.95
             };
             assert!(
-                (least..=1.05).contains(&used),
-                "{what}, {fronts} fronts: {used:.3}"
+                (min_usage..=1.05).contains(&used),
+                "{load}, {fronts} fronts: {used:.3}"
             );
             assert!(
-                simulation.worst <= 1.5,
-                "{what}, {fronts} fronts: {:.3} of the burst",
-                simulation.worst
+                simulation.peak_burst_usage <= 1.5,
+                "{load}, {fronts} fronts: {:.3} of the burst",
+                simulation.peak_burst_usage
             );
         }
     }
 }
 
 #[test]
-fn a_load_that_jumps_is_followed_and_the_overshoot_is_bounded_in_height_and_time() {
+fn quotas_follow_a_load_that_jumps_and_the_overshoot_is_bounded_in_height_and_time() {
     for fronts in [3u32, 40, 240] {
         let mut simulation = Simulation::new(fronts, SHARED, 8);
         simulation.run(400, 60.0, 0.0, |_, _| 0);
-        // All of it jumps to the last front, then to all at once.
-        simulation.share(60, 60.0, |_, n| n - 1);
-        let one = simulation.worst;
-        simulation.run(380, 60.0, 0.0, |_, n| n - 1);
-        let after = simulation.share(300, 60.0, |_, n| n - 1);
-        simulation.share(60, 60.0, even);
-        let all = simulation.worst;
-        simulation.run(45, 60.0, 0.0, even);
-        let settled = simulation.share(300, 60.0, even);
-        println!("jump, {fronts} fronts: to one {one:.3} of the burst, then {after:.3} of the budget; to all {all:.3}, then {settled:.3}");
+        // The whole load jumps to the last front, then to all fronts.
+        simulation.budget_usage(60, 60.0, last_front);
+        let peak_one_front = simulation.peak_burst_usage;
+        simulation.run(380, 60.0, 0.0, last_front);
+        let used_one_front = simulation.budget_usage(300, 60.0, last_front);
+        simulation.budget_usage(60, 60.0, any_front);
+        let peak_all_fronts = simulation.peak_burst_usage;
+        simulation.run(45, 60.0, 0.0, any_front);
+        let used_all_fronts = simulation.budget_usage(300, 60.0, any_front);
+        println!(
+            "jump, {fronts} fronts: to one front, peak {peak_one_front:.3} of the burst, \
+             then {used_one_front:.3} of the budget; \
+             to all fronts, peak {peak_all_fronts:.3}, then {used_all_fronts:.3}"
+        );
         assert!(
-            one <= 1.5 && (0.95..=1.05).contains(&after),
-            "{fronts}: {one} {after}"
+            peak_one_front <= 1.5 && (0.95..=1.05).contains(&used_one_front),
+            "{fronts} fronts, to one: {peak_one_front} {used_one_front}"
         );
         assert!(
-            all <= 1.5 && (0.95..=1.05).contains(&settled),
-            "{fronts}: {all} {settled}"
+            peak_all_fronts <= 1.5 && (0.95..=1.05).contains(&used_all_fronts),
+            "{fronts} fronts, to all: {peak_all_fronts} {used_all_fronts}"
         );
     }
 }
 
 #[test]
-fn without_reports_the_sum_stays_within_the_budget() {
+fn a_front_without_reports_stays_within_an_equal_quota() {
     for fronts in [3u32, 40, 240] {
         let mut simulation = Simulation::new(fronts, SHARED, 7);
         simulation.run(400, 60.0, 0.0, |_, _| 0);
-        simulation.delay = 1_000_000 * SECOND; // From now on none comes.
+        simulation.report_delay = 1_000_000 * SECOND; // From now on, no report arrives.
         simulation.run(60, 60.0, 0.0, |_, _| 0);
-        let used = simulation.share(300, 60.0, |_, _| 0);
-        println!("no reports, all on one of {fronts}: {used:.3}");
-        // With 240 fronts a quota is less than a session, and one at a time goes.
+        let used = simulation.budget_usage(300, 60.0, |_, _| 0);
+        println!("no reports, one of {fronts} fronts loaded: {used:.3} of the budget");
+        // With 240 fronts, an equal quota is less than a session, so one session at a time crosses.
         assert!(
-            used <= 1.0 / f64::from(fronts) * 1.1 + KB[2] / RATE_KB,
-            "{fronts}: {used}"
+            used <= 1.0 / f64::from(fronts) * 1.1 + RUNG_RATES_KB[2] / RATE_KB,
+            "{fronts} fronts: {used}"
         );
     }
 }
 
 #[test]
-fn no_burst_when_all_fronts_start_at_once() {
+fn fronts_that_all_start_at_once_stay_within_the_rate_and_the_burst() {
     for fronts in [3u32, 40, 240] {
         let mut simulation = Simulation::new(fronts, SHARED, 9);
-        let (_, first) = simulation.run(20, 200.0, 0.0, even);
-        let allowed =
-            RATE_KB * 1000.0 * 20.0 + SHARED.burst_bytes + f64::from(fronts) * KB[2] * 12_000.0;
-        // Lengths are drawn: those that last longer than the mean are charged as they flow.
-        assert!(first <= allowed * 1.15, "{fronts}: {first} of {allowed}");
+        let (_, sent_bytes) = simulation.run(20, 200.0, 0.0, any_front);
+        let allowed_bytes = RATE_KB * 1000.0 * 20.0
+            + SHARED.burst_bytes
+            + f64::from(fronts) * RUNG_RATES_KB[2] * 12_000.0;
+        // The margin is for random session lengths: the bytes of sessions longer than the mean are charged only while they
+        // are sent.
+        assert!(
+            sent_bytes <= allowed_bytes * 1.15,
+            "{fronts} fronts: {sent_bytes} of {allowed_bytes}"
+        );
     }
 }
 
 #[test]
 fn paid_sessions_have_priority_and_previews_repay_the_overdraft_in_a_bounded_time() {
     let mut simulation = Simulation::new(20, SHARED, 10);
-    simulation.run(120, 40.0, 0.2, even);
-    // A zone is lost: everything requests to cross, and paid sessions alone takes more than the budget.
-    let (paid, _) = simulation.run(300, 28.0, 0.9, even);
+    simulation.run(120, 40.0, 0.2, any_front);
+    // A zone is lost, so that all sessions request to cross. The paid ones alone use more than the budget.
+    let (paid_bytes, _) = simulation.run(300, 28.0, 0.9, any_front);
     assert!(
-        paid > RATE_KB * 1000.0 * 300.0 * 1.2,
-        "paid sessions are not held back: {paid}"
+        paid_bytes > RATE_KB * 1000.0 * 300.0 * 1.2,
+        "paid sessions must not be held back: {paid_bytes}"
     );
     let status = simulation.fronts[3]
         .budget_statuses(simulation.now)
@@ -361,28 +398,29 @@
         status.overdraft_bytes[&OverdraftCause::LocalZoneDown] > 0.0
             && status.written_off_bytes > 0.0
     );
-    // The zone has recovered: only previews request to cross now, and they wait until the overdraft is repaid.
-    let waiting = simulation.share(30, 40.0, even);
-    assert!(waiting < 0.5, "{waiting}");
-    // 60 s of repaying and the burst of 30 s are the bound; then they have it all again.
-    simulation.run(120, 60.0, 0.0, even);
-    let after = simulation.share(300, 60.0, even);
+    // The zone has recovered. Only previews request to cross now, and they are held back until the overdraft is repaid.
+    let used_during_repayment = simulation.budget_usage(30, 40.0, any_front);
+    assert!(used_during_repayment < 0.5, "{used_during_repayment}");
+    // The overdraft is repaid for at most 60 s and the burst takes 30 s. After that, previews use the whole budget again.
+    simulation.run(120, 60.0, 0.0, any_front);
+    let used_afterwards = simulation.budget_usage(300, 60.0, any_front);
     assert!(
-        (0.95..=1.05).contains(&after),
-        "and then have it all again: {after}"
+        (0.95..=1.05).contains(&used_afterwards),
+        "previews must use the whole budget again: {used_afterwards}"
     );
 }
 
 #[test]
-fn relief_caps_the_dearest_previews_first_never_paid_sessions_and_lifts_caps_one_at_a_time() {
+fn the_most_expensive_previews_are_capped_first_paid_sessions_never_and_caps_are_lifted_one_by_one()
+{
     let mut admission = single_front(&[limit(1, SHARED)], 1);
     let now = Time::ZERO + 1000 * SECOND;
-    for (session, kb) in [(1, 100.0), (2, 600.0), (3, 250.0)] {
-        admission.session_started(now, start(session, PREVIEW, kb));
+    for (session_id, rate_kb) in [(1, 100.0), (2, 600.0), (3, 250.0)] {
+        admission.session_started(now, session_start(session_id, PREVIEW, rate_kb));
     }
     assert!(admission.tick(now).cap.is_empty(), "nothing is overdrawn");
     let overdrawn: f64 = (10..510)
-        .map(|n| admission.session_started(now, start(n, PAID, 600.0)))
+        .map(|id| admission.session_started(now, session_start(id, PAID, 600.0)))
         .sum();
     assert!(overdrawn > 0.0);
     assert_eq!(admission.tick(now).cap, [2, 3]);
@@ -393,7 +431,7 @@
     );
     assert!(
         admission.tick(now + SECOND).cap.is_empty(),
-        "the effect of a cap must first show"
+        "no further caps before the first ones take effect"
     );
     assert_eq!(
         (
@@ -407,10 +445,11 @@
         CrossZonePolicy::Allowed,
         "a zone without a budget"
     );
-    // Ended sooner than expected, they give back what they did not send; the cheaper one is uncapped first.
-    (10..510).for_each(|n| admission.session_ended(now + SECOND, n));
+    // The paid sessions end sooner than expected, so most of their reservations are returned. The cheaper preview is uncapped
+    // first.
+    (10..510).for_each(|id| admission.session_ended(now + SECOND, id));
     let uncapped: Vec<Vec<u64>> = (2..90)
-        .map(|s| admission.tick(now + s * SECOND).uncap)
+        .map(|seconds| admission.tick(now + seconds * SECOND).uncap)
         .collect();
     assert_eq!(uncapped.concat(), [3, 2]);
     assert_eq!(
@@ -424,8 +463,8 @@
     let mut admission = single_front(&[limit(1, SHARED)], 1);
     let now = Time::ZERO + 1000 * SECOND;
     assert_eq!(admission.policy_changes(now), []);
-    (0..400).for_each(|n| {
-        admission.session_started(now, start(n, PAID, 600.0));
+    (0..400).for_each(|id| {
+        admission.session_started(now, session_start(id, PAID, 600.0));
     });
     assert_eq!(
         admission.policy_changes(now),
@@ -456,7 +495,7 @@
     assert!(
         admission.budget_statuses(now)[0].level > 0.9
             && admission.budget_statuses(now)[1].level == 0.0,
-        "what is owed stays"
+        "the debt must be kept"
     );
     admission.reconfigure(
         &[limit(2, SHARED)],
@@ -475,8 +514,8 @@
 }
 
 #[test]
-fn a_class_may_have_its_own_budget_and_previews_repay_what_paid_sessions_overdrew_in_it() {
-    let tight = SharedBudget {
+fn previews_repay_the_overdraft_of_a_paid_class_that_has_its_own_budget() {
+    let paid_class_budget = SharedBudget {
         rate_kb: 100.0,
         burst_bytes: 4e6,
         ..SHARED
@@ -485,13 +524,16 @@
         CrossZoneLimit {
             from: 1,
             class: Some(PAID),
-            shared: tight,
+            shared: paid_class_budget,
         },
         limit(1, SHARED),
     ];
     let mut admission = single_front(&limits, 1);
     let now = Time::ZERO + 1000 * SECOND;
-    assert_eq!(admission.session_started(now, start(1, PAID, 600.0)), 0.0);
+    assert_eq!(
+        admission.session_started(now, session_start(1, PAID, 600.0)),
+        0.0
+    );
     assert_eq!(
         (
             admission.policy(now, 1, PAID),
@@ -499,12 +541,15 @@
         ),
         (CrossZonePolicy::LastResort, CrossZonePolicy::Allowed)
     );
-    let before = admission.budget_statuses(now)[0].level;
-    assert!(admission.session_started(now, start(2, PAID, 600.0)) > 0.0);
+    let level_before = admission.budget_statuses(now)[0].level;
+    assert!(admission.session_started(now, session_start(2, PAID, 600.0)) > 0.0);
     let statuses = admission.budget_statuses(now);
-    let general = statuses.iter().find(|s| s.limit.class.is_none()).unwrap();
+    let general = statuses
+        .iter()
+        .find(|status| status.limit.class.is_none())
+        .unwrap();
     assert!(
-        general.level > before && general.level > 0.0,
+        general.level > level_before && general.level > 0.0,
         "{statuses:?}"
     );
 }
@@ -530,7 +575,7 @@
         (CrossZonePolicy::Forbidden, CrossZonePolicy::LastResort)
     );
     assert_eq!(
-        admission.session_started(now, start(1, PAID, 100.0)),
+        admission.session_started(now, session_start(1, PAID, 100.0)),
         1_000_000.0
     );
     admission.session_ended(now + SECOND, 1);
@@ -542,7 +587,7 @@
 }
 
 #[test]
-fn a_volume_is_held_in_each_period_and_clock_steps_change_nothing() {
+fn a_volume_applies_to_each_period_and_clock_steps_do_not_reset_it() {
     let shared = SharedBudget {
         rate_kb: 1e6,
         burst_bytes: 1e12,
@@ -560,13 +605,13 @@
     let now = Time::ZERO + 6000 * SECOND;
     assert!(
         budget.conforms(now, 1e6) && !budget.conforms(now, 1.1e6),
-        "a third of the volume"
+        "this front may send a third of the volume"
     );
     assert_eq!(budget.reserve(now, 1e6), 0.0);
     assert!(!budget.conforms(now, 1.0) && !budget.conforms(now - 100 * SECOND, 1.0));
     assert!(budget.conforms(now + 60 * SECOND, 1e6));
     assert!(
         budget.conforms(now, 1e6),
-        "a step back does not bring the old period back"
+        "a step back must not return to the earlier period"
     );
 }
--- a/crates/cross-zone-traffic/tests/report_digits.rs
+++ b/crates/cross-zone-traffic/tests/report_digits.rs
@@ -1,4 +1,5 @@
-//! Pins the reports of a simulated front to the last digit: the order in which floating-point values are added shows here.
+//! Checks that the decisions and reports of simulated fronts stay the same to the last digit, by digests. They change if
+//! floating-point values are added in another order.
 use crankpaddle_cross_zone_traffic::budget::{FrontPosition, SharedBudget};
 use crankpaddle_cross_zone_traffic::cross_zone_admission::{CrossZoneLimit, PolicyChange};
 use crankpaddle_cross_zone_traffic::report::{merge, TrafficNames, TrafficReport};
@@ -24,12 +25,12 @@
 }
 
 fn names() -> TrafficNames {
-    let of = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
+    let to_strings = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     TrafficNames {
-        zones: of(&["north", "south", "west"]),
-        classes: of(&["paid", "preview", "trailer"]),
-        tenants: of(&["main", "partner"]),
-        groups: of(&["", "sport"]),
+        zones: to_strings(&["north", "south", "west"]),
+        classes: to_strings(&["paid", "preview", "trailer"]),
+        tenants: to_strings(&["main", "partner"]),
+        groups: to_strings(&["", "sport"]),
     }
 }
 
@@ -77,16 +78,19 @@
     controller
 }
 
-/// A front whose sessions start, are counted, change their rung and end at random, and whose servers fail and come back.
+/// A front whose sessions start, change their rung and end at random, with random counts and reports of servers that are lost
+/// and come back.
 struct Simulation {
     random: Rand64,
     controller: TrafficController,
     front: u32,
-    sent: BTreeMap<u64, u64>, // By attempt.
-    next_id: u64,
-    capped: usize,
-    uncapped: usize,
-    log: String,
+    /// Bytes sent so far, by the id of the attempt.
+    sent_bytes: BTreeMap<u64, u64>,
+    last_id: u64,
+    cap_count: usize,
+    uncap_count: usize,
+    /// The decisions and budgets of each second.
+    decision_log: String,
 }
 
 impl Simulation {
@@ -95,71 +99,75 @@
             random: Rand64::new(u128::from(front) + 11),
             controller: controller(front),
             front,
-            sent: BTreeMap::new(),
-            next_id: 0,
-            capped: 0,
-            uncapped: 0,
-            log: String::new(),
+            sent_bytes: BTreeMap::new(),
+            last_id: 0,
+            cap_count: 0,
+            uncap_count: 0,
+            decision_log: String::new(),
         }
     }
 
-    fn below(&mut self, end: u64) -> u64 {
+    /// A random number from 0 to `end` - 1.
+    fn random_below(&mut self, end: u64) -> u64 {
         self.random.rand_range(0..end)
     }
 
+    /// Starts an attempt, which becomes a session in 9 of 10 cases.
     fn start_attempt(&mut self, now: Time) {
-        self.next_id += 1;
-        let id = self.next_id;
-        let class = self.below(u64::from(CLASSES)) as u8;
+        self.last_id += 1;
+        let id = self.last_id;
+        let class = self.random_below(u64::from(CLASSES)) as u8;
         self.controller.session_requested(class, now);
         let attempt = AttemptUsage {
             id,
-            number: self.below(2) as u8,
-            server: self.below(u64::from(SERVERS)) as u32,
+            number: self.random_below(2) as u8,
+            server: self.random_below(u64::from(SERVERS)) as u32,
             class,
-            tenant: self.below(2) as u16,
-            group: self.below(2) as u16,
-            rung: self.below(3) as u8,
+            tenant: self.random_below(2) as u16,
+            group: self.random_below(2) as u16,
+            rung: self.random_below(3) as u8,
         };
         self.controller.attempt_started(attempt);
-        if self.below(10) > 0 {
+        if self.random_below(10) > 0 {
             self.controller.session_established(id, now);
         }
-        self.sent.insert(id, 0);
+        self.sent_bytes.insert(id, 0);
     }
 
+    /// Ends an attempt, changes its rung, counts its bytes, or does nothing, at random.
     fn advance_attempt(&mut self, id: u64, now: Time) {
-        match self.below(40) {
+        match self.random_below(40) {
             0 => {
-                let end = if self.below(3) == 0 {
+                let end = if self.random_below(3) == 0 {
                     AttemptEnd::ServerLost
                 } else {
                     AttemptEnd::Completed
                 };
                 self.controller.attempt_ended(id, end, now);
-                let bytes = self.sent.remove(&id).unwrap_or(0);
-                if self.below(3) > 0 {
+                let bytes = self.sent_bytes.remove(&id).unwrap_or(0);
+                if self.random_below(3) > 0 {
                     self.controller
                         .final_bytes_counted(id, bytes + 777, now + SECOND);
                 }
             }
             1 => {
-                let rung = self.below(3) as u8;
+                let rung = self.random_below(3) as u8;
                 self.controller.rung_changed(id, rung, now);
             }
             2..14 => {
-                let more = self.below(90_000);
-                let bytes = self.sent.entry(id).or_default();
-                *bytes += more;
+                let added_bytes = self.random_below(90_000);
+                let bytes = self.sent_bytes.entry(id).or_default();
+                *bytes += added_bytes;
                 self.controller.bytes_counted(id, *bytes, now);
             }
             _ => {}
         }
     }
 
-    fn report_of_servers(&mut self, now: Time) {
-        let server = self.below(u64::from(SERVERS)) as u32;
-        match self.below(30) {
+    /// At random, one server is lost or listed as down. Then all servers report.
+    fn report_from_servers(&mut self, now: Time) {
+        let server = self.random_below(u64::from(SERVERS)) as u32;
+        match self.random_below(30) {
             0 => self.controller.server_lost(server),
             1 => self
                 .controller
@@ -170,7 +178,7 @@
             let rate_kb = self.random.rand_float() * 500.0;
             let rates = BTreeMap::from([(0, rate_kb), (1, rate_kb * 0.7), (2, rate_kb / 3.0)]);
             self.controller.usage_reported(server, rates, now);
-            if self.below(3) == 0 {
+            if self.random_below(3) == 0 {
                 let share = self.random.rand_float();
                 self.controller.delivery_reported(server, share, now);
             }
@@ -179,21 +187,21 @@
 
     fn tick(&mut self, now: Time) {
         let caps = self.controller.tick(now);
-        self.capped += caps.cap.len();
-        self.uncapped += caps.uncap.len();
-        self.log += &format!("{:?} {:?} ", caps.cap, caps.uncap);
+        self.cap_count += caps.cap.len();
+        self.uncap_count += caps.uncap.len();
+        self.decision_log += &format!("{:?} {:?} ", caps.cap, caps.uncap);
         for change in self.controller.policy_changes(now) {
             let PolicyChange {
                 zone,
                 class,
                 policy,
             } = change;
-            self.log += &format!("{zone} {class} {policy:?} ");
+            self.decision_log += &format!("{zone} {class} {policy:?} ");
         }
-        self.log += &format!("{:?}\n", self.controller.zones_observed(now));
+        self.decision_log += &format!("{:?}\n", self.controller.zones_observed(now));
         while !self.controller.settle_usage(now, 7) {}
         let budgets = self.report(now).budgets;
-        self.log += &serde_json::to_string(&budgets).unwrap();
+        self.decision_log += &serde_json::to_string(&budgets).unwrap();
     }
 
     fn report(&mut self, now: Time) -> TrafficReport {
@@ -201,30 +209,30 @@
     }
 }
 
-/// The report at the end of a simulation, and what was decided and reported in each second of it.
+/// Runs a simulation. Returns the report at its end, and the decisions and budgets of each second.
 fn simulated_report(front: u32) -> (TrafficReport, String) {
     let mut simulation = Simulation::new(front);
     for step in 0..SIMULATED_SECONDS * 4 {
-        let now = START + step * SECOND / 4 + Duration::from_nanos(simulation.below(1000));
-        for _ in 0..simulation.below(3) {
+        let now = START + step * SECOND / 4 + Duration::from_nanos(simulation.random_below(1000));
+        for _ in 0..simulation.random_below(3) {
             simulation.start_attempt(now);
         }
-        let ids: Vec<u64> = simulation.sent.keys().copied().collect();
+        let ids: Vec<u64> = simulation.sent_bytes.keys().copied().collect();
         for id in ids {
             simulation.advance_attempt(id, now);
         }
         if step % 4 == 3 {
-            simulation.report_of_servers(now);
+            simulation.report_from_servers(now);
             simulation.tick(now);
         }
     }
-    assert!(simulation.capped > 0 && simulation.uncapped > 0);
+    assert!(simulation.cap_count > 0 && simulation.uncap_count > 0);
     let report = simulation.report(START + SIMULATED_SECONDS * SECOND);
-    (report, simulation.log)
+    (report, simulation.decision_log)
 }
 
 #[test]
-fn reports_of_a_simulated_front_are_the_same_to_the_last_digit() {
+fn reports_of_simulated_fronts_stay_the_same_to_the_last_digit() {
     let (reports, logs): (Vec<TrafficReport>, Vec<String>) = (0..3).map(simulated_report).unzip();
     let log_digests: Vec<u64> = logs.iter().map(|log| digest(log)).collect();
     let report_digests: Vec<u64> = reports
@@ -251,7 +259,7 @@
 }
 
 #[test]
-fn a_saved_report_is_taken_over_the_same_to_the_last_digit() {
+fn reports_from_restored_totals_stay_the_same_to_the_last_digit() {
     let (report, _) = simulated_report(0);
     let renamed = TrafficNames {
         classes: vec!["paid".into(), "teaser".into()],
--- a/crates/cross-zone-traffic/tests/traffic_controller.rs
+++ b/crates/cross-zone-traffic/tests/traffic_controller.rs
@@ -1,4 +1,5 @@
-//! The traffic controller as a front drives it: events of sessions in, policies, rate caps and reports out.
+//! Tests of the traffic controller as a front uses it: from the events of sessions and servers, it derives policies, rate
+//! caps and reports.
 use crankpaddle_cross_zone_traffic::budget::{FrontPosition, SharedBudget};
 use crankpaddle_cross_zone_traffic::cross_zone_admission::{
     CrossZoneLimit, CrossZonePolicy, PolicyChange,
@@ -18,15 +19,16 @@
 const PREVIEW: u8 = 1;
 
 fn names() -> TrafficNames {
-    let of = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
+    let to_strings = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     TrafficNames {
-        zones: of(&["north", "south"]),
-        classes: of(&["paid", "preview"]),
+        zones: to_strings(&["north", "south"]),
+        classes: to_strings(&["paid", "preview"]),
         tenants: vec![],
-        groups: of(&["", "sport"]),
+        groups: to_strings(&["", "sport"]),
     }
 }
 
+/// The configuration of a single front in zone 0, with a budget for the traffic from zone 1.
 fn config(rate_kb: f64) -> TrafficConfig {
     let shared = SharedBudget {
         rate_kb,
@@ -60,7 +62,7 @@
     }
 }
 
-/// Servers 1 and 2 in the own zone, 11 and 12 in the other.
+/// A controller with servers 1 and 2 in the front's own zone, and 11 and 12 in the other zone.
 fn new_controller(rate_kb: f64) -> TrafficController {
     let mut controller = TrafficController::new(config(rate_kb));
     for server in [1, 2, 11, 12] {
@@ -89,7 +91,7 @@
     }
 }
 
-fn play(controller: &mut TrafficController, id: u64, server: u32, class: u8, now: Time) {
+fn start_session(controller: &mut TrafficController, id: u64, server: u32, class: u8, now: Time) {
     controller.attempt_started(attempt(id, server, class));
     controller.session_established(id, now);
 }
@@ -103,11 +105,11 @@
 }
 
 #[test]
-fn only_traffic_from_another_zone_is_held_to_its_budget() {
+fn a_budget_limits_only_the_traffic_from_its_zone() {
     let mut controller = new_controller(100.0);
-    (0..50).for_each(|n| play(&mut controller, n, 1, PREVIEW, START));
+    (0..50).for_each(|id| start_session(&mut controller, id, 1, PREVIEW, START));
     assert_eq!(controller.policy_changes(START), []);
-    (100..110).for_each(|n| play(&mut controller, n, 11, PREVIEW, START));
+    (100..110).for_each(|id| start_session(&mut controller, id, 11, PREVIEW, START));
     assert_eq!(
         controller.policy_changes(START),
         [
@@ -115,25 +117,25 @@
             change(1, PREVIEW, CrossZonePolicy::Forbidden)
         ]
     );
-    let reported = report(&mut controller, START).budgets.remove(0);
+    let budget = report(&mut controller, START).budgets.remove(0);
     assert_eq!(
-        (reported.paid_kb, reported.other_kb, reported.from.as_str()),
+        (budget.paid_kb, budget.other_kb, budget.from.as_str()),
         (0.0, 800.0, "south")
     );
-    (100..110).for_each(|n| controller.attempt_ended(n, AttemptEnd::Completed, START + SECOND));
-    (2..200).for_each(|s| drop(controller.tick(START + s * SECOND)));
+    (100..110).for_each(|id| controller.attempt_ended(id, AttemptEnd::Completed, START + SECOND));
+    (2..200).for_each(|seconds| drop(controller.tick(START + seconds * SECOND)));
     assert_eq!(
         controller.policy_changes(START + 200 * SECOND).len(),
         2,
-        "both are allowed again"
+        "both classes must be allowed again"
     );
 }
 
 #[test]
 fn overdrafts_are_reported_with_their_cause() {
     let mut controller = new_controller(1.0);
-    play(&mut controller, 1, 11, PAID, START);
-    play(&mut controller, 2, 11, PAID, START);
+    start_session(&mut controller, 1, 11, PAID, START);
+    start_session(&mut controller, 2, 11, PAID, START);
     let full = report(&mut controller, START).budgets.remove(0);
     assert!(
         full.overdraft_zone_full_bytes > 0 && full.overdraft_zone_down_bytes == 0,
@@ -141,16 +143,16 @@
     );
     controller.server_lost(1);
     controller.server_lost(2);
-    play(&mut controller, 3, 11, PAID, START);
+    start_session(&mut controller, 3, 11, PAID, START);
     let lost = report(&mut controller, START).budgets.remove(0);
     assert!(lost.overdraft_zone_down_bytes > 0, "{lost:?}");
     assert_eq!(
         lost.overdraft_zone_full_bytes,
         full.overdraft_zone_full_bytes
     );
-    // A server that a message is received from is up again, whatever the endpoint list states meanwhile.
+    // A message from a server shows that it is up again, whatever the endpoint list states in the meantime.
     controller.server_connected(1, START);
-    play(&mut controller, 4, 11, PAID, START);
+    start_session(&mut controller, 4, 11, PAID, START);
     assert!(
         report(&mut controller, START).budgets[0].overdraft_zone_full_bytes
             > full.overdraft_zone_full_bytes
@@ -160,14 +162,15 @@
 #[test]
 fn every_attempt_is_counted_once_under_its_purpose() {
     let mut controller = new_controller(1e6);
-    play(&mut controller, 1, 1, PREVIEW, START);
+    start_session(&mut controller, 1, 1, PREVIEW, START);
     controller.attempt_started(AttemptUsage {
         number: 1,
         group: 1,
         ..attempt(2, 11, PREVIEW)
     });
     controller.session_established(2, START);
-    controller.attempt_started(attempt(3, 12, PREVIEW)); // Fails, but its server had started to send.
+    // The third attempt fails after its server has started to send.
+    controller.attempt_started(attempt(3, 12, PREVIEW));
     controller.attempt_ended(3, AttemptEnd::Completed, START + SECOND);
     controller.final_bytes_counted(3, 555, START + SECOND);
     controller.final_bytes_counted(3, 555, START + SECOND); // A duplicate.
@@ -177,13 +180,13 @@
     }
     settle(&mut controller, START + 60 * SECOND);
     let reported = report(&mut controller, START + 60 * SECOND);
-    let all: Vec<(&str, &str, u64)> = reported
+    let bytes_by_purpose: Vec<(&str, &str, u64)> = reported
         .flows
         .iter()
-        .map(|f| (f.purpose.as_str(), f.group.as_str(), f.bytes))
+        .map(|flow| (flow.purpose.as_str(), flow.group.as_str(), flow.bytes))
         .collect();
     assert_eq!(
-        all,
+        bytes_by_purpose,
         [
             ("playing", "", 1000),
             ("nothing", "", 555),
@@ -197,16 +200,18 @@
 }
 
 #[test]
-fn a_session_of_a_lost_server_flowed_until_the_server_was_last_received_from() {
+fn a_session_of_a_lost_server_counts_until_the_last_message_from_the_server() {
     let mut controller = new_controller(1e6);
-    play(&mut controller, 1, 11, PREVIEW, START);
-    play(&mut controller, 2, 12, PREVIEW, START);
-    for s in 1..=5 {
-        controller.bytes_counted(1, 80_000 * u64::from(s), START + s * SECOND + SECOND / 2);
-        controller.server_connected(11, START + s * SECOND + SECOND / 2);
+    start_session(&mut controller, 1, 11, PREVIEW, START);
+    start_session(&mut controller, 2, 12, PREVIEW, START);
+    for seconds in 1..=5 {
+        let now = START + seconds * SECOND + SECOND / 2;
+        controller.bytes_counted(1, 80_000 * u64::from(seconds), now);
+        controller.server_connected(11, now);
     }
-    controller.server_alive(12, START + 3 * SECOND); // Its process ended then, and its connection with it.
-    controller.attempt_ended(1, AttemptEnd::ServerLost, START + 9 * SECOND); // Silent since 5.5 s.
+    // The process and the connection of server 12 end at 3 s. Server 11 sends nothing after 5.5 s.
+    controller.server_alive(12, START + 3 * SECOND);
+    controller.attempt_ended(1, AttemptEnd::ServerLost, START + 9 * SECOND);
     controller.attempt_ended(2, AttemptEnd::ServerLost, START + 9 * SECOND);
     settle(&mut controller, START + 60 * SECOND);
     let flow = report(&mut controller, START + 60 * SECOND).flows.remove(0);
@@ -217,7 +222,7 @@
 }
 
 #[test]
-fn zones_are_observed_only_while_there_is_demand_and_then_every_server_counts() {
+fn zones_are_observed_only_with_demand_and_quotas_grow_only_when_every_server_reports() {
     let mut controller = TrafficController::new(TrafficConfig {
         position: FrontPosition {
             index: 0,
@@ -229,7 +234,7 @@
         controller.endpoint_listed(server, u8::from(server > 10), true);
     }
     assert!(controller.zones_observed(START).is_empty());
-    (100..104).for_each(|n| play(&mut controller, n, 11, PREVIEW, START));
+    (100..104).for_each(|id| start_session(&mut controller, id, 11, PREVIEW, START));
     controller.session_requested(PREVIEW, START);
     assert_eq!(controller.zones_observed(START), BTreeSet::from([1]));
     assert!(
@@ -237,23 +242,24 @@
             && !controller.is_in_zones(1, &controller.zones_observed(START))
     );
     let mut quotas = Vec::new();
-    for s in 1..=6u32 {
-        let now = START + s * SECOND;
+    for seconds in 1..=6u32 {
+        let now = START + seconds * SECOND;
         controller.session_requested(PREVIEW, now);
         controller.usage_reported(11, BTreeMap::from([(PREVIEW, 320.0)]), now);
-        if s > 2 {
-            controller.usage_reported(12, BTreeMap::new(), now); // Until it reports too, the total is unknown.
+        if seconds > 2 {
+            // The total is unknown until this server reports too.
+            controller.usage_reported(12, BTreeMap::new(), now);
         }
         controller.tick(now);
         quotas.push(report(&mut controller, now).budgets[0].quota);
     }
     assert!(
-        quotas[..2].iter().all(|p| *p == 0.25) && quotas[5] > 0.25,
+        quotas[..2].iter().all(|quota| *quota == 0.25) && quotas[5] > 0.25,
         "{quotas:?}"
     );
     controller.server_lost(12);
     assert!(!controller.is_in_zones(12, &BTreeSet::from([1])));
-    // A server that a complete list no longer contains is not waited for.
+    // A server that is missing from a complete endpoint list is no longer up, so its report is not needed.
     controller.endpoint_listed(13, 1, true);
     assert!(controller.is_in_zones(13, &BTreeSet::from([1])));
     controller.retain_endpoints(&BTreeSet::from([1, 11, 12]));
@@ -264,39 +270,47 @@
 }
 
 #[test]
-fn an_account_survives_a_restart_and_removed_names_lose_no_byte() {
+fn an_account_is_restored_after_a_restart_without_losing_bytes_of_removed_names() {
     let mut controller = new_controller(1e6);
-    play(&mut controller, 1, 11, PREVIEW, START);
-    play(&mut controller, 2, 1, PAID, START);
+    start_session(&mut controller, 1, 11, PREVIEW, START);
+    start_session(&mut controller, 2, 1, PAID, START);
     settle(&mut controller, START + 60 * SECOND);
     let reported = report(&mut controller, START + 60 * SECOND);
     let text = serde_json::to_string(&reported).unwrap();
-    let read: TrafficReport = serde_json::from_str(&text).unwrap();
-    assert_eq!(read, reported);
-    let mut next = new_controller(1e6);
-    assert!(next.restore(&read.saved_flows(&names())));
-    let after = report(&mut next, START + 61 * SECOND);
-    let plain = |r: &TrafficReport| -> Vec<(String, u64, Vec<_>)> {
-        r.flows
+    let saved: TrafficReport = serde_json::from_str(&text).unwrap();
+    assert_eq!(saved, reported);
+    let mut restored = new_controller(1e6);
+    assert!(restored.restore(&saved.saved_flows(&names())));
+    let reported_after_restart = report(&mut restored, START + 61 * SECOND);
+    let bytes_and_hours = |report: &TrafficReport| -> Vec<(String, u64, Vec<_>)> {
+        report
+            .flows
             .iter()
-            .map(|f| (f.class.clone(), f.bytes, f.hours.clone()))
+            .map(|flow| (flow.class.clone(), flow.bytes, flow.hours.clone()))
             .collect()
     };
-    assert_eq!(plain(&after), plain(&reported));
+    assert_eq!(
+        bytes_and_hours(&reported_after_restart),
+        bytes_and_hours(&reported)
+    );
     let renamed = TrafficNames {
         classes: vec!["paid".into(), "teaser".into()],
         ..names()
     };
-    let mut next = new_controller(1e6);
-    next.restore(&read.saved_flows(&renamed));
-    let total = |r: &TrafficReport| r.flows.iter().map(|f| f.bytes).sum::<u64>();
-    assert_eq!(total(&report(&mut next, START)), total(&reported));
+    let mut restored = new_controller(1e6);
+    restored.restore(&saved.saved_flows(&renamed));
+    let total_bytes =
+        |report: &TrafficReport| report.flows.iter().map(|flow| flow.bytes).sum::<u64>();
+    assert_eq!(
+        total_bytes(&report(&mut restored, START)),
+        total_bytes(&reported)
+    );
 }
 
 #[test]
-fn a_front_with_two_reports_counts_once() {
+fn only_the_latest_report_of_a_front_is_merged() {
     let mut controller = new_controller(1e6);
-    play(&mut controller, 1, 11, PREVIEW, START);
+    start_session(&mut controller, 1, 11, PREVIEW, START);
     settle(&mut controller, START + 30 * SECOND);
     let earlier = report(&mut controller, START + 30 * SECOND);
     settle(&mut controller, START + 60 * SECOND);
@@ -313,14 +327,14 @@
         2 * later.flows[0].hours[0].bytes
     );
     assert_eq!(both.budgets[0].quota, 2.0);
-    // A report no later than the known one adds nothing.
+    // A report with the same time as an earlier one of the same front is ignored.
     assert_eq!(merge([later.clone(), later.clone()]).flows, later.flows);
 }
 
 #[test]
-fn another_configuration_keeps_the_account_and_the_debt() {
+fn a_new_configuration_keeps_the_account_and_the_sessions() {
     let mut controller = new_controller(100.0);
-    (100..110).for_each(|n| play(&mut controller, n, 11, PREVIEW, START));
+    (100..110).for_each(|id| start_session(&mut controller, id, 11, PREVIEW, START));
     assert_eq!(controller.policy_changes(START).len(), 2);
     settle(&mut controller, START + 20 * SECOND);
     let before = report(&mut controller, START + 20 * SECOND);
@@ -338,7 +352,7 @@
     assert_eq!(
         controller.policy_changes(START + 20 * SECOND).len(),
         2,
-        "a zone without a budget any more is allowed"
+        "a zone that no longer has a budget must be allowed"
     );
     assert_eq!(
         report(&mut controller, START + 20 * SECOND).flows,
@@ -347,7 +361,7 @@
     assert_eq!(
         controller
             .usage()
-            .total(|f| f.purpose == Purpose::FirstAttempt),
+            .total(|flow| flow.purpose == Purpose::FirstAttempt),
         before.flows[0].bytes
     );
 }
--- a/crates/traffic-report/src/plot/tests.rs
+++ b/crates/traffic-report/src/plot/tests.rs
@@ -2,7 +2,7 @@
 use crankpaddle_cross_zone_traffic::report::{ByteTotals, FlowReport};
 
 #[test]
-fn a_plot_names_its_lines_and_nothing_to_draw_is_an_error() {
+fn a_plot_labels_its_lines_and_a_report_without_traffic_is_an_error() {
     assert!(svg(&TrafficReport::default()).is_err());
     let minutes = (0..5)
         .map(|n| ByteTotals {
--- a/crates/traffic-report/src/text/tests.rs
+++ b/crates/traffic-report/src/text/tests.rs
@@ -38,12 +38,12 @@
 }
 
 #[test]
-fn tables_align_and_show_the_usage_of_budgets() {
+fn tables_are_aligned_and_show_the_usage_of_budgets() {
     let text = table(&report());
     let lines: Vec<&str> = text.lines().collect();
-    let at = lines[0].find("BYTES").unwrap();
+    let bytes_column = lines[0].find("BYTES").unwrap();
     assert!(
-        lines[1][at..].starts_with("1.2 MB") && lines[1].ends_with("100.0%"),
+        lines[1][bytes_column..].starts_with("1.2 MB") && lines[1].ends_with("100.0%"),
         "{text}"
     );
     assert!(text.contains("125%") && text.contains("999 B"), "{text}");
@@ -54,12 +54,15 @@
 }
 
 #[test]
-fn csv_quotes_where_required_and_every_line_has_the_same_fields() {
+fn csv_cells_are_quoted_where_required_and_all_lines_have_the_same_number_of_cells() {
     let text = csv(&report());
     assert_eq!(text.matches("\r\n").count(), 3);
     assert!(
         text.contains("south,north,\"a \"\"quoted\"\", class\",,,playing,true,3600000,1234567,,,,")
     );
-    let plain = text.replace("\"a \"\"quoted\"\", class\"", "class");
-    assert!(plain.lines().all(|l| l.split(',').count() == 13), "{plain}");
+    let unquoted = text.replace("\"a \"\"quoted\"\", class\"", "class");
+    assert!(
+        unquoted.lines().all(|line| line.split(',').count() == 13),
+        "{unquoted}"
+    );
 }
