--- a/crates/cross-zone-traffic/src/cross_zone_admission/crossing_session.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/crossing_session.rs
@@ -17,9 +17,9 @@
     /// Bytes reserved in the budget.
     pub(super) reserved_bytes: f64,
     pub(super) started_at: Time,
-    /// When the current rate was last set; `sent_bytes` refers to this time.
-    pub(super) rate_since: Time,
-    /// Bytes sent before `rate_since`.
+    /// The bytes up to this time are included in `sent_bytes`.
+    pub(super) accounted_until: Time,
+    /// Bytes sent by `accounted_until`.
     pub(super) sent_bytes: f64,
     pub(super) is_capped: bool,
     /// Why it exceeded the budget; `None` if it conformed when it started.
@@ -29,7 +29,7 @@
 impl CrossingSession {
     /// Bytes sent by `now`, estimated from the rate.
     pub(super) fn sent_bytes_by(&self, now: Time) -> f64 {
-        self.sent_bytes + self.rate_kb * BYTES_PER_KB * seconds_between(self.rate_since, now)
+        self.sent_bytes + self.rate_kb * BYTES_PER_KB * seconds_between(self.accounted_until, now)
     }
 
     /// Seconds since its start.
@@ -48,7 +48,7 @@
     ) {
         self.sent_bytes = self.sent_bytes_by(now);
         self.rate_kb = rate_kb;
-        self.rate_since = now.max(self.rate_since);
+        self.accounted_until = now.max(self.accounted_until);
         let expected_bytes = self.sent_bytes + rate_kb * BYTES_PER_KB * remaining_seconds;
         if let Some(pool) = pool {
             pool.correct_reservation(now, self, expected_bytes);
--- a/crates/cross-zone-traffic/src/cross_zone_admission/mod.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/mod.rs
@@ -157,7 +157,7 @@
             uncapped_rate_kb: start.rate_kb,
             reserved_bytes: expected_bytes,
             started_at: now,
-            rate_since: now,
+            accounted_until: now,
             sent_bytes: 0.0,
             is_capped: false,
             overdraft_cause: (overdrawn_bytes > 0.0).then_some(start.overdraft_cause),
@@ -191,8 +191,8 @@
     }
 
     /// Handles a change of a session's rate.
-    pub(crate) fn rate_changed(&mut self, now: Time, session: u64, rate_kb: f64) {
-        let Some(session) = self.sessions.get_mut(&session) else {
+    pub(crate) fn rate_changed(&mut self, now: Time, session_id: u64, rate_kb: f64) {
+        let Some(session) = self.sessions.get_mut(&session_id) else {
             return;
         };
         let pool = self.pools.get_mut(&session.budget);
@@ -200,8 +200,8 @@
     }
 
     /// Handles the end of a session: corrects its reservation to the bytes that it sent.
-    pub fn session_ended(&mut self, now: Time, session: u64) {
-        let Some(session) = self.sessions.remove(&session) else {
+    pub fn session_ended(&mut self, now: Time, session_id: u64) {
+        let Some(session) = self.sessions.remove(&session_id) else {
             return;
         };
         let seconds = session.age_seconds(now).max(MIN_SESSION_SECONDS);
--- a/crates/cross-zone-traffic/src/quota_share.rs
+++ b/crates/cross-zone-traffic/src/quota_share.rs
@@ -171,7 +171,7 @@
     }
 
     /// Updates the quota and returns it, 0 to 1. Must be called about once a second. `own_usage` is this front's current
-    /// usage; `usage_of_all_fronts` refers to an earlier time, or `None` if a server has not reported.
+    /// usage. `usage_of_all_fronts` refers to an earlier time and is `None` if a server has no recent report.
     pub(crate) fn update(
         &mut self,
         now: Time,
--- a/crates/cross-zone-traffic/src/traffic_controller/server_zones.rs
+++ b/crates/cross-zone-traffic/src/traffic_controller/server_zones.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerZones {
     zone_by_server: HashMap<u32, u8>,
-    up_by_zone: BTreeMap<u8, BTreeSet<u32>>,
+    servers_up_by_zone: BTreeMap<u8, BTreeSet<u32>>,
     last_message_at: HashMap<u32, Time>,
 }
 
@@ -24,7 +24,7 @@
 
     /// Marks a server of a zone as up or down. Returns whether its state changed.
     pub(super) fn set_up(&mut self, server: u32, zone: u8, is_up: bool) -> bool {
-        let servers = self.up_by_zone.entry(zone).or_default();
+        let servers = self.servers_up_by_zone.entry(zone).or_default();
         if is_up {
             servers.insert(server)
         } else {
@@ -34,12 +34,15 @@
 
     /// Returns the servers of a zone that are up.
     pub(super) fn servers_up(&self, zone: u8) -> BTreeSet<u32> {
-        self.up_by_zone.get(&zone).cloned().unwrap_or_default()
+        self.servers_up_by_zone
+            .get(&zone)
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Whether at least one server of a zone is up.
     pub(super) fn has_server_up(&self, zone: u8) -> bool {
-        self.up_by_zone
+        self.servers_up_by_zone
             .get(&zone)
             .is_some_and(|servers| !servers.is_empty())
     }
@@ -48,7 +51,7 @@
     pub(super) fn is_up_in(&self, server: u32, zones: &BTreeSet<u8>) -> bool {
         self.zone_of(server)
             .filter(|zone| zones.contains(zone))
-            .and_then(|zone| self.up_by_zone.get(&zone))
+            .and_then(|zone| self.servers_up_by_zone.get(&zone))
             .is_some_and(|servers| servers.contains(&server))
     }
 
--- a/crates/cross-zone-traffic/src/usage_accounting/mod.rs
+++ b/crates/cross-zone-traffic/src/usage_accounting/mod.rs
@@ -69,7 +69,7 @@
     /// Handles the start of a session. Ignores a session that is already known.
     pub fn session_started(
         &mut self,
-        session: u64,
+        session_id: u64,
         flow: Flow,
         server: u32,
         rate_kb: f64,
@@ -77,38 +77,38 @@
     ) {
         let at = self.advance_clock(at);
         self.sessions
-            .entry(session)
+            .entry(session_id)
             .or_insert_with(|| SessionUsage::new(flow, server, rate_kb, at));
     }
 
     /// Handles a change of a session's rate.
-    pub fn rate_changed(&mut self, session: u64, rate_kb: f64, at: Time) {
+    pub fn rate_changed(&mut self, session_id: u64, rate_kb: f64, at: Time) {
         let at = self.advance_clock(at);
-        if let Some(usage) = self.sessions.get_mut(&session) {
+        if let Some(usage) = self.sessions.get_mut(&session_id) {
             usage.change_rate(rate_kb, at);
         }
     }
 
     /// Handles a server's cumulative count: it had sent `bytes` of a session by the time `at`.
-    pub fn bytes_counted(&mut self, session: u64, bytes: u64, at: Time) {
+    pub fn bytes_counted(&mut self, session_id: u64, bytes: u64, at: Time) {
         let at = self.advance_clock(at);
-        match self.sessions.get_mut(&session) {
+        match self.sessions.get_mut(&session_id) {
             Some(usage) => usage.record_count(bytes, at, &self.delivery),
             None => self.dropped_late_reports += 1,
         }
     }
 
     /// Handles the end of a session, which is retained until its final count should have arrived.
-    pub fn session_ended(&mut self, session: u64, at: Time) {
+    pub fn session_ended(&mut self, session_id: u64, at: Time) {
         let at = self.advance_clock(at);
-        if let Some(usage) = self.sessions.get_mut(&session) {
+        if let Some(usage) = self.sessions.get_mut(&session_id) {
             usage.end(at);
         }
     }
 
     /// Handles the server's final count of a session: the number of all bytes that it sent.
-    pub fn final_bytes_counted(&mut self, session: u64, bytes: u64) {
-        match self.sessions.get_mut(&session) {
+    pub fn final_bytes_counted(&mut self, session_id: u64, bytes: u64) {
+        match self.sessions.get_mut(&session_id) {
             Some(usage) => usage.record_final_count(bytes),
             None => self.dropped_late_reports += 1,
         }
@@ -162,16 +162,16 @@
             .take(max_sessions);
         let mut visited = 0;
         let mut completed = Vec::new();
-        for (session, usage) in next_sessions {
+        for (session_id, usage) in next_sessions {
             visited += 1;
-            self.last_settled = Some(*session);
+            self.last_settled = Some(*session_id);
             usage.settle(horizon, &self.delivery, &mut self.totals);
             if usage.has_ended_by(horizon) {
-                completed.push(*session);
+                completed.push(*session_id);
             }
         }
-        for session in completed {
-            self.sessions.remove(&session);
+        for session_id in completed {
+            self.sessions.remove(&session_id);
         }
         visited
     }
--- a/crates/cross-zone-traffic/src/usage_accounting/session_usage.rs
+++ b/crates/cross-zone-traffic/src/usage_accounting/session_usage.rs
@@ -98,10 +98,10 @@
         // If the bytes up to that time are already settled, move the count to just after the settled time and add the
         // estimate of the bytes sent in between.
         let effective_at = at.max(self.settled_until + MIN_STEP);
-        let sent_since = self.estimated_bytes(at, effective_at, delivery);
+        let bytes_sent_since = self.estimated_bytes(at, effective_at, delivery);
         self.insert_count(CumulativeCount {
             at: effective_at,
-            bytes: bytes.saturating_add(sent_since as u64),
+            bytes: bytes.saturating_add(bytes_sent_since as u64),
         });
     }
 
@@ -119,7 +119,9 @@
             return;
         }
         match counts.get_mut(index) {
-            Some(same) if same.at == count.at => same.bytes = same.bytes.max(count.bytes),
+            Some(existing) if existing.at == count.at => {
+                existing.bytes = existing.bytes.max(count.bytes);
+            }
             _ => counts.insert(index, count),
         }
         if counts.len() > MAX_UNSETTLED_COUNTS {
@@ -181,10 +183,10 @@
         let next_count = self.unsettled_counts.iter().find(|count| count.at > start);
         if let Some(count) = next_count {
             let end = until.min(count.at).min(next_second);
-            let remaining = count.bytes.saturating_sub(self.settled_bytes) as f64;
+            let remaining_bytes = count.bytes.saturating_sub(self.settled_bytes) as f64;
             return SettlementStep {
                 end,
-                bytes: remaining * nanoseconds_between(start, end)
+                bytes: remaining_bytes * nanoseconds_between(start, end)
                     / nanoseconds_between(start, count.at),
                 source: ByteSource::Measured,
                 ends_at_count: count.at == end,
@@ -236,13 +238,20 @@
         let Some(final_bytes) = self.final_bytes else {
             return;
         };
-        if let Some(missing) = final_bytes.checked_sub(self.settled_bytes) {
-            self.add_to_totals(totals, ByteSource::Measured, self.settled_until, missing);
+        if let Some(missing_bytes) = final_bytes.checked_sub(self.settled_bytes) {
+            self.add_to_totals(
+                totals,
+                ByteSource::Measured,
+                self.settled_until,
+                missing_bytes,
+            );
             return;
         }
-        let overstated = self.settled_bytes - final_bytes;
+        let overstated_bytes = self.settled_bytes - final_bytes;
         let flow_totals = totals.entry(self.flow);
-        flow_totals.overstated_bytes = flow_totals.overstated_bytes.saturating_add(overstated);
+        flow_totals.overstated_bytes = flow_totals
+            .overstated_bytes
+            .saturating_add(overstated_bytes);
         self.settled_bytes = final_bytes;
     }
 
--- a/crates/traffic-report/src/plot/tests.rs
+++ b/crates/traffic-report/src/plot/tests.rs
@@ -5,9 +5,9 @@
 fn a_plot_labels_its_lines_and_a_report_without_traffic_is_an_error() {
     assert!(svg(&TrafficReport::default()).is_err());
     let minutes = (0..5)
-        .map(|n| ByteTotals {
-            at_ms: n * MINUTE_MS,
-            bytes: 6_000_000 * n,
+        .map(|minute| ByteTotals {
+            at_ms: minute * MINUTE_MS,
+            bytes: 6_000_000 * minute,
         })
         .collect();
     let (from, to, class) = ("south".into(), "north".into(), "preview".into());
--- a/crates/traffic-report/tests/printed_bytes.rs
+++ b/crates/traffic-report/tests/printed_bytes.rs
@@ -14,9 +14,9 @@
 fn flow(from: &str, class: &str, scale: u64) -> FlowReport {
     let spans = |end: u64, length_ms: u64| {
         (1..end)
-            .map(|n| ByteTotals {
-                at_ms: n * length_ms * scale,
-                bytes: 6_543_210 * n * scale,
+            .map(|span_number| ByteTotals {
+                at_ms: span_number * length_ms * scale,
+                bytes: 6_543_210 * span_number * scale,
             })
             .collect()
     };
