--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,23 +1,23 @@
-//! Admission: where a request is set up and at which rung, or that it gets a final answer without an attempt.
+//! Admission: selects the server and the rung of a request, or answers it without another attempt.
 use crate::interface::{
     Action, CrossZonePolicy, Idempotency, RequestId, RetryScope, ServerId, SessionRequest, Time,
 };
-use crate::load::LOW_MARK;
+use crate::load::LIGHT_LOAD_FILL;
 use crate::outliers::slow_start_interval;
-use crate::regions::HEADROOM_MARK;
+use crate::regions::ADMISSION_MAX_FILL;
 use crate::state::{
-    Accounting, Actions, Nanoseconds, Offer, PlacementPolicy, RequestKind, Server, SessionChange,
+    Accounting, Actions, Offer, PlacementPolicy, RequestKind, ServerRecord, SessionChange, TimeArithmetic,
 };
 
-pub(crate) const RECENT_REQUESTS: usize = 100; // Requests whose class and rung are remembered.
-const HALF_SLOT: f64 = 0.5; // Rates are rough: a region counts as full half a slot later.
-const SETUPS_IN_TIMEOUT: f64 = 4.0; // An attempt may take so many usual set-up times at least.
-const OVER_QUOTA: f64 = 1.15; // Within a tenant's quota still: its rate over that, ...
-const QUOTA_BURST_SECONDS: f64 = 3.0; // ... so many seconds of it at once, ...
-const QUOTA_CHANCE: f64 = 4.0; // ... and the requests that chance may add.
+pub(crate) const MAX_RECENT_REQUESTS: usize = 100; // Length of the sample of recent requests.
+const REGION_SLACK_SLOTS: f64 = 0.5; // Rates are estimates, so a region may be overfilled by half a slot.
+const TIMEOUT_SETUP_TIMES: f64 = 4.0; // Shortest attempt timeout, in mean set-up times.
+const QUOTA_RATE_FACTOR: f64 = 1.15; // A tenant's bucket drains at this multiple of its quota, ...
+const QUOTA_BURST_SECONDS: f64 = 3.0; // ... holds this many seconds of that rate, ...
+const QUOTA_BURST_REQUESTS: f64 = 4.0; // ... and this many more requests for random fluctuations.
 
 impl PlacementPolicy {
-    /// Takes a request: an attempt starts or it gets its final answer.
+    /// Handles a new request: starts an attempt or gives the final answer.
     pub(crate) fn handle_request(&mut self, now: Time, request: SessionRequest, actions: &mut Actions) {
         let id = request.request;
         self.request_times.push_back(now);
@@ -34,52 +34,53 @@
         self.attempt_or_answer(id, over_quota, actions);
     }
 
-    /// The rung, and so the region, that a server offers; `current` is the one that the session has there.
-    pub(crate) fn rung_for(&self, request: &SessionRequest, id: ServerId, current: Option<u8>) -> Option<u8> {
+    /// Highest rung that a server can offer; `current` is the session's rung if it already runs there.
+    pub(crate) fn top_rung(&self, request: &SessionRequest, id: ServerId, current: Option<u8>) -> Option<u8> {
         let server = self.servers.get(&id)?;
         let class = self.class(request.class)?;
-        let top = request.max_rung.min(class.max_rung).min(self.last_rung());
-        let no_place = current.is_none() && self.streams(server) + 1.0 > server.stream_capacity;
-        if top < class.min_rung || self.settings.rung_kb.is_empty() || no_place {
+        let max_rung = request.max_rung.min(class.max_rung).min(self.last_rung());
+        let streams_full = current.is_none() && self.estimated_streams(server) + 1.0 > server.stream_capacity;
+        if max_rung < class.min_rung || self.settings.rung_kb.is_empty() || streams_full {
             return None;
         }
-        let (link, uplink) = (self.link_fill(server), self.uplink_fill(server.uplink_group));
+        let (link_fill, uplink_fill) = (self.link_fill(server), self.uplink_fill(server.uplink_group));
         let current_kb = current.map_or(0.0, |rung| self.rate_kb(request.class, rung));
-        let actors = if current.is_some() { self.concurrent_promotions(server) } else { 1.0 };
+        let promotions = if current.is_some() { self.concurrent_promotions(server) } else { 1.0 };
         let uplink_kb = self.uplink_groups[server.uplink_group].uplink.capacity_kb;
-        let fits = |rate_kb: f64, mark: f64| {
-            let more_kb = rate_kb - current_kb;
-            link + more_kb * actors / server.link.capacity_kb <= mark
-                && uplink + more_kb * actors / uplink_kb <= mark
+        let fits = |rate_kb: f64, max_fill: f64| {
+            let added_kb = (rate_kb - current_kb) * promotions;
+            link_fill + added_kb / server.link.capacity_kb <= max_fill
+                && uplink_fill + added_kb / uplink_kb <= max_fill
         };
         let region_has_slot = |rung: u8, rate_kb: f64| {
             let region = usize::from(rung);
-            let part = self.fleet.region_rate_kb[region] / self.fleet.own_rate_kb.max(1.0);
-            let inside_kb = if current == Some(rung) { current_kb } else { 0.0 };
-            let occupied_kb = link * server.link.capacity_kb * part - inside_kb;
-            let slots = f64::from(server.region_slots[region]) + HALF_SLOT;
+            let region_share = self.fleet.region_rate_kb[region] / self.fleet.own_rate_kb.max(1.0);
+            let counted_kb = if current == Some(rung) { current_kb } else { 0.0 };
+            let occupied_kb = link_fill * server.link.capacity_kb * region_share - counted_kb;
+            let slots = f64::from(server.region_slots[region]) + REGION_SLACK_SLOTS;
             occupied_kb + rate_kb <= slots * self.settings.rung_kb[region] * self.fleet.rate_factor
         };
-        let priced = self.priced_rung(RequestKind { class: request.class, max_rung: top });
-        // Why: promotions up to a rough limit are taken back by relief, at a price each.
-        let mark = if current.is_some() { LOW_MARK } else { HEADROOM_MARK };
-        let offered = (class.min_rung..=top).rev().find(|&rung| {
+        let priced = self.priced_rung(RequestKind { class: request.class, max_rung });
+        // Estimates are rough: relief would undo promotions up to the full limit, at a cost for each change.
+        let max_fill = if current.is_some() { LIGHT_LOAD_FILL } else { ADMISSION_MAX_FILL };
+        let offered = (class.min_rung..=max_rung).rev().find(|&rung| {
             let rate_kb = self.rate_kb(request.class, rung);
-            fits(rate_kb, LOW_MARK) && rung <= priced || fits(rate_kb, mark) && region_has_slot(rung, rate_kb)
+            fits(rate_kb, LIGHT_LOAD_FILL) && rung <= priced
+                || fits(rate_kb, max_fill) && region_has_slot(rung, rate_kb)
         });
-        // Regions lag and rates are rough: while the link is measured to have headroom, the lowest rung goes.
+        // Region sizes lag and rates are estimates: given headroom, the lowest rung is offered in any case.
         let lowest_fits =
-            current.is_none() && fits(self.rate_kb(request.class, class.min_rung), HEADROOM_MARK);
+            current.is_none() && fits(self.rate_kb(request.class, class.min_rung), ADMISSION_MAX_FILL);
         offered.or(lowest_fits.then_some(class.min_rung))
     }
 
-    /// Streams that a server is estimated to run: ours, and others at the mean rate of ours.
-    pub(crate) fn streams(&self, server: &Server) -> f64 {
+    /// Estimated streams of a server: our own sessions, and the rest of its load at the mean rate of ours.
+    pub(crate) fn estimated_streams(&self, server: &ServerRecord) -> f64 {
         let others_kb = (self.link_fill(server) * server.link.capacity_kb - server.own_rate_kb).max(0.0);
         server.sessions.len() as f64 + others_kb / self.mean_session_kb.max(1.0)
     }
 
-    /// Two random holders: the higher rung offered, then the lighter; the others only when both are full.
+    /// Selects the better offer (rung, then cost) of two random holders, or of the next two if both are full.
     fn choose_server(&mut self, now: Time, id: RequestId, over_quota: bool) -> Option<Offer> {
         let session = self.sessions.get(&id)?;
         let request = session.request.clone();
@@ -94,29 +95,29 @@
                 && self.in_retry_scope(session, server)
         });
         let with_policy = |id| (self.cross_zone_policy(request.class, &self.servers[&id]), id);
-        let mut order: Vec<_> = holders.into_iter().map(with_policy).collect();
-        order.sort_by_cached_key(|(policy, _)| (*policy, self.random.rand_u32()));
-        for (_, id) in &order {
+        let mut candidates: Vec<_> = holders.into_iter().map(with_policy).collect();
+        candidates.sort_by_cached_key(|(policy, _)| (*policy, self.random.rand_u32()));
+        for (_, id) in &candidates {
             self.size_regions(now, *id);
         }
         // Where another zone is the last resort, its servers are considered after all others.
-        let alike = order.chunk_by(|a, b| a.0 == b.0);
-        alike.flat_map(|servers| servers.chunks(2)).find_map(|pair| {
+        let by_policy = candidates.chunk_by(|a, b| a.0 == b.0);
+        by_policy.flat_map(|servers| servers.chunks(2)).find_map(|pair| {
             let offers = pair.iter().filter_map(|(_, id)| self.offer(&request, *id, over_quota));
             offers.min_by(|a, b| b.rung.cmp(&a.rung).then(a.cost.total_cmp(&b.cost)))
         })
     }
 
-    /// A server's offer; to a request beyond its tenant's quota the lowest rung, while the server is light.
+    /// A server's offer. A request over its tenant's quota gets the lowest rung, and only at light load.
     fn offer(&self, request: &SessionRequest, id: ServerId, over_quota: bool) -> Option<Offer> {
         let server = self.servers.get(&id)?;
         let fill = self.link_fill(server).max(self.uplink_fill(server.uplink_group));
-        let crosses = server.endpoint.zone != self.settings.zone;
-        let crossing = if crosses { self.settings.cross_zone_price } else { 0.0 };
-        let offered = self.rung_for(request, id, None)?;
+        let other_zone = server.endpoint.zone != self.settings.zone;
+        let zone_cost = if other_zone { self.settings.cross_zone_price } else { 0.0 };
+        let offered = self.top_rung(request, id, None)?;
         let rung = if over_quota { self.class(request.class)?.min_rung } else { offered };
-        let admitted = !over_quota || fill <= LOW_MARK;
-        admitted.then_some(Offer { server: id, rung, cost: fill + crossing })
+        let admitted = !over_quota || fill <= LIGHT_LOAD_FILL;
+        admitted.then_some(Offer { server: id, rung, cost: fill + zone_cost })
     }
 
     /// Starts the next attempt of a request, or gives it its final answer.
@@ -134,7 +135,7 @@
         let Some(session) = self.sessions.get_mut(&request) else { return };
         let class = &self.settings.classes[usize::from(session.request.class)];
         let time_left = session.request.deadline.since(now);
-        let usual = (class.latency_objective / 2).max((SETUPS_IN_TIMEOUT * self.mean_setup_time) as u64);
+        let usual = (class.latency_objective / 2).max((TIMEOUT_SETUP_TIMES * self.mean_setup_time) as u64);
         let at_most_once = class.idempotency == Idempotency::AtMostOnce;
         let timeout = if at_most_once { 0 } else { usual.min(time_left) };
         if !session.attempted.is_empty() {
@@ -146,32 +147,32 @@
             server.use_slot(now, pause);
         }
         self.account_for(now, request, Accounting::Add);
-        self.session_changes.push_back(SessionChange { at: now, sessions: 1.0 });
+        self.session_changes.push_back(SessionChange { at: now, delta: 1.0 });
         actions.push(Action::SetRung { request, rung: offer.rung });
         actions.push(Action::StartAttempt { request, server: offer.server, timeout });
     }
 
-    /// Gives a request its final answer: rejected, or failed if it may have had an effect.
+    /// Gives the final answer: rejected, or failed if an attempt may have run that must not be repeated.
     fn answer(&mut self, request: RequestId, actions: &mut Actions) {
         let Some(session) = self.sessions.remove(&request) else { return };
-        let harmless = matches!(
+        let retry_is_safe = matches!(
             self.class(session.request.class).map(|class| class.idempotency),
             None | Some(Idempotency::Idempotent | Idempotency::IdempotentWithin(RetryScope::All))
         );
-        if harmless || session.possible_execution.is_none() {
+        if retry_is_safe || session.possible_execution.is_none() {
             actions.push(Action::Reject { request, retry_after: self.settings.max_retry_after });
         } else {
             actions.push(Action::Fail(request));
         }
     }
 
-    /// Whether a tenant's request is beyond its quota; one within it is counted.
+    /// Whether a request exceeds its tenant's quota. Only a request within the quota is counted against it.
     fn is_over_quota(&mut self, now: Time, tenant: u16) -> bool {
         let quota = self.settings.tenant_quota.get(usize::from(tenant)).copied().unwrap_or(0.0);
-        let rate = OVER_QUOTA * quota / f64::from(self.settings.replica_count.max(1));
+        let rate = QUOTA_RATE_FACTOR * quota / f64::from(self.settings.replica_count.max(1));
         let Some(usage) = self.tenants.get_mut(usize::from(tenant)) else { return false };
         usage.drain(now, rate);
-        if rate > 0.0 && usage.used + 1.0 > rate * QUOTA_BURST_SECONDS + QUOTA_CHANCE {
+        if rate > 0.0 && usage.used + 1.0 > rate * QUOTA_BURST_SECONDS + QUOTA_BURST_REQUESTS {
             return true;
         }
         usage.used += 1.0;
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -1,12 +1,12 @@
-//! What follows from the outcome of an attempt: for its server, for its session and for the request.
+//! Applies the outcomes of attempts to their servers, sessions and requests.
 use crate::interface::{AttemptOutcome, RequestId, ServerId, SessionRequest, Time};
-use crate::policy::STALL;
+use crate::policy::STALL_THRESHOLD_NS;
 use crate::state::{
-    Accounting, Actions, EndedAttempt, Nanoseconds, PlacementPolicy, SessionChange, SessionState, SECOND,
+    Accounting, Actions, EndedAttempt, PlacementPolicy, SessionChange, SessionState, TimeArithmetic, SECOND,
 };
 
-const SETUP_TIME_WEIGHT: f64 = 0.05; // Weight of a new set-up time against the mean.
-const SETUP_TIME_MAX: f64 = SECOND as f64; // It counts for this at most, nanoseconds.
+const SETUP_TIME_WEIGHT: f64 = 0.05; // Weight of a new set-up time in the moving average.
+const MAX_SETUP_TIME_NS: f64 = SECOND as f64; // Longer set-up times count as this in the average.
 
 impl PlacementPolicy {
     /// Takes over a session that was established before this replica started.
@@ -21,14 +21,14 @@
             session.state = SessionState::Established(server);
             session.rung = lowest;
         }
-        // It stands for the arrivals that it would be one of.
+        // Counts the arrivals that keep one session running on average (Little's law).
         self.arrivals.requests += self.arrivals.seconds / self.mean_session_seconds();
         self.account_for(now, id, Accounting::Add);
     }
 
-    /// Takes the success of an attempt.
+    /// Records the success of an attempt.
     pub(crate) fn session_established(&mut self, request: RequestId, id: ServerId, setup_time: u64) {
-        let counted = (setup_time as f64).min(SETUP_TIME_MAX);
+        let counted = (setup_time as f64).min(MAX_SETUP_TIME_NS);
         self.mean_setup_time += SETUP_TIME_WEIGHT * (counted - self.mean_setup_time);
         if let Some(session) = self.sessions.get_mut(&request) {
             session.establish(self.now);
@@ -37,7 +37,7 @@
         server.record_success(self.now, self.settings.slow_start_duration);
     }
 
-    /// Takes the end of an attempt: its session is over, or its request is attempted again or answered.
+    /// Handles the end of an attempt: its session is over, or its request is attempted again or answered.
     pub(crate) fn attempt_ended(&mut self, now: Time, ended: &EndedAttempt, actions: &mut Actions) {
         let (request, id, outcome) = (ended.request, ended.server, ended.outcome);
         let known = self.sessions.get(&request).is_some_and(|session| session.server() == Some(id));
@@ -46,7 +46,7 @@
             return;
         }
         self.account_for(now, request, Accounting::Remove);
-        self.session_changes.push_back(SessionChange { at: now, sessions: -1.0 });
+        self.session_changes.push_back(SessionChange { at: now, delta: -1.0 });
         self.apply_report(now, id, &ended.report);
         let Some(session) = self.sessions.get_mut(&request) else { return };
         let was_established = session.is_established();
@@ -61,13 +61,13 @@
         }
         let session = self.sessions.remove(&request);
         if let Some(session) = session.filter(|_| was_established && outcome == AttemptOutcome::Reset) {
-            // A lost session's viewer comes again: the title's other holders count it as an arrival at once.
+            // The viewer of a lost session requests again: count that arrival at the other holders at once.
             self.count_arrival(&session.request);
         }
         self.promote(now, id, actions);
     }
 
-    /// What an outcome shows of the server.
+    /// Records what an outcome implies about the server.
     fn record_outcome(&mut self, now: Time, id: ServerId, outcome: AttemptOutcome) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         match outcome {
@@ -76,13 +76,13 @@
                 server.record_failure(now);
             }
             AttemptOutcome::ServerError => server.record_failure(now),
-            // Why: a replica that stood still finds time-outs that are its own.
-            AttemptOutcome::Timeout if now.since(self.stall_detected_at) > STALL => {
+            // A time-out right after a stall of this process may be of its own making.
+            AttemptOutcome::Timeout if now.since(self.stall_detected_at) > STALL_THRESHOLD_NS => {
                 server.record_failure(now);
             }
             AttemptOutcome::Rejected => {
-                let least = self.settings.server_rejection_threshold.min(1.0);
-                server.link.set_at_least(least);
+                let min_fill = self.settings.server_rejection_threshold.min(1.0);
+                server.link.raise_to(min_fill);
             }
             _ => {}
         }
--- a/crates/policy/src/erlang.rs
+++ b/crates/policy/src/erlang.rs
@@ -1,10 +1,10 @@
-//! Textbook formulas of loss queues: the blocking probability (Erlang B) and the benefit of a chain of regions.
+//! Loss queues: the blocking probability (Erlang B) and the benefit of a chain of regions.
 
-/// Queues that are computed side by side, so that their recursions do not wait for each other.
+/// Queues whose recursions run side by side, so that their floating-point operations overlap.
 const BATCH_WIDTH: usize = 8;
-/// Steps of the recursion between two looks whether all queues of a batch are finished.
-const STEPS_PER_LOOK: usize = 16;
-/// Reciprocal of the smallest blocking probability that is distinguished from 0: the recursion stops there.
+/// Steps of the recursion between two checks whether all queues of a batch are finished.
+const STEPS_PER_CHECK: usize = 16;
+/// Reciprocal of the smallest blocking probability that is not treated as 0; the recursion stops there.
 const MAX_RECIPROCAL: f64 = 1e12;
 
 /// A queue without waiting places: an arrival that finds all slots taken is lost.
@@ -15,7 +15,8 @@
     slots: u32,
 }
 
-/// What a chain of regions has earned down to a rung, and the load that is left for the next.
+/// State of a chain of regions at a rung: the utility earned per second so far, and the load that spills over to
+/// the next lower region.
 #[derive(Clone, Copy)]
 struct Chain {
     earned: f64,
@@ -27,7 +28,7 @@
     blocking_probabilities(&[LossQueue { offered, slots }])[0]
 }
 
-/// [`erlang_b`] of several queues at once.
+/// Blocking probability of each queue, as by [`erlang_b`].
 fn blocking_probabilities(queues: &[LossQueue]) -> Vec<f64> {
     let mut blocking = Vec::with_capacity(queues.len());
     for batch in queues.chunks(BATCH_WIDTH) {
@@ -39,8 +40,8 @@
     blocking
 }
 
-/// Reciprocals of the blocking probabilities of a batch, by the stable recursion: 1 + n / offered times the one
-/// before. No step takes a division.
+/// Reciprocals of the blocking probabilities of a batch, by the numerically stable recursion
+/// `r(n) = 1 + n / offered * r(n - 1)`. Dividing by `offered` once in advance keeps divisions out of the loop.
 fn reciprocals(batch: &[LossQueue]) -> [f64; BATCH_WIDTH] {
     let mut per_erlang = [0.0; BATCH_WIDTH];
     let mut slots = [0.0; BATCH_WIDTH];
@@ -51,11 +52,11 @@
     let mut reciprocals = [1.0; BATCH_WIDTH];
     let max_slots = slots.iter().fold(0.0, |max: f64, slots| max.max(*slots));
     let mut step = 0.0;
-    // More slots only make a probability smaller, so that those below the smallest are finished.
+    // Further slots only lower a probability, so a queue that is past the limit is finished.
     while step < max_slots
         && reciprocals.iter().zip(&slots).any(|(value, slots)| step < *slots && *value <= MAX_RECIPROCAL)
     {
-        for _ in 0..STEPS_PER_LOOK {
+        for _ in 0..STEPS_PER_CHECK {
             step += 1.0;
             for i in 0..BATCH_WIDTH {
                 let next = 1.0 + step * per_erlang[i] * reciprocals[i];
@@ -67,7 +68,8 @@
 }
 
 impl LossQueue {
-    /// The blocking probability, given its reciprocal by the recursion.
+    /// The blocking probability, given its reciprocal from the recursion. Without load nothing is blocked, unless
+    /// there are no slots at all.
     fn blocking(&self, reciprocal: f64) -> f64 {
         let no_load = self.offered.is_nan() || self.offered <= 0.0;
         let never_blocks = if no_load { self.slots > 0 } else { reciprocal > MAX_RECIPROCAL };
@@ -79,12 +81,14 @@
     }
 }
 
-/// Eq. 1 over the mean session length: the utility that regions of `slots` (lowest rung first) earn a second.
+/// Utility per second that regions of `slots` (lowest rung first) earn, which is Eq. 1 over the mean session
+/// length. Sessions start in the highest region and spill over downwards; each one that finds no slot at all costs
+/// `penalty`.
 pub fn benefit(offered: f64, slots: &[u32], utility: &[f64], penalty: f64) -> f64 {
     benefits(offered, &[slots.to_vec()], utility, penalty)[0]
 }
 
-/// [`benefit`] of several splits at once.
+/// [`benefit`] of each split, with the recursions of all splits run in batches.
 pub(crate) fn benefits(offered: f64, splits: &[Vec<u32>], utility: &[f64], penalty: f64) -> Vec<f64> {
     let mut chains = vec![Chain { earned: 0.0, overflow: offered }; splits.len()];
     for (rung, utility) in utility.iter().enumerate().rev() {
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,55 +1,55 @@
-//! Actions: what the embedder is to do.
+//! Actions that the embedder carries out.
 use super::{RequestId, ServerId, Time};
 
-/// What is to be done.
+/// An action that the embedder carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a set-up to a server.
     StartAttempt {
-        /// The request.
+        /// The request that is attempted.
         request: RequestId,
-        /// The server.
+        /// The server that is to set up the session.
         server: ServerId,
-        /// Time allowed, nanoseconds; 0: until the request times out.
+        /// Time allowed for the set-up, nanoseconds; 0 means until the deadline of the request.
         timeout: u64,
     },
-    /// Set the rung, before an attempt or of an established session.
+    /// Set the rung: that of the attempt that follows, or of an established session.
     SetRung {
-        /// The request.
+        /// The request of the attempt or session.
         request: RequestId,
-        /// The rung.
+        /// The rung to set, counted from 0.
         rung: u8,
     },
-    /// Final answer: rejected.
+    /// Final answer: rejected; the client may send the request again.
     Reject {
-        /// The request.
+        /// The request that is rejected.
         request: RequestId,
-        /// Time after which the client may retry, nanoseconds; 0: not stated.
+        /// Time after which the client may retry, nanoseconds; 0 means that no time is stated.
         retry_after: u64,
     },
-    /// Final answer: failed; an attempt may have been executed.
+    /// Final answer: failed; an attempt may have been executed and must not be repeated.
     Fail(RequestId),
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in progress.
     CancelAttempt {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Number of the attempt, from 0.
+        /// Number of the attempt within the request, counted from 0.
         attempt: u8,
     },
     /// Remove the session from its server; it returns as a new request.
     MigrateSession(RequestId),
-    /// Call [`Event::Timer`](super::Event::Timer) with this token at that time.
+    /// Send [`Event::Timer`](super::Event::Timer) at a given time.
     SetTimer {
-        /// When.
+        /// When to send the event.
         at: Time,
-        /// The timer's token.
+        /// The token to pass in the event.
         token: u32,
     },
     /// Send a health check to a server.
     HealthCheck(ServerId),
     /// Subscribe to changes of the endpoint list.
     SubscribeEndpoints,
-    /// Request the complete endpoint list once.
+    /// Request the full endpoint list once.
     FetchEndpoints,
     /// Send a message to all other replicas.
     Broadcast(Vec<u8>),
--- a/crates/policy/src/interface/endpoint.rs
+++ b/crates/policy/src/interface/endpoint.rs
@@ -1,14 +1,14 @@
-//! Endpoint lists, and how servers of other zones may be used.
+//! Endpoint lists, and the use of servers in other zones.
 use super::{ServerId, Time};
 
-/// Lifecycle of a server, by its entry in an endpoint list.
+/// Lifecycle of a server, as stated by its entry in an endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
     /// It accepts sessions.
     Ready,
-    /// It completes its sessions and accepts no new ones.
+    /// It finishes its sessions and accepts no new ones.
     Draining,
-    /// It no longer exists.
+    /// It no longer exists, or was never in a list.
     #[default]
     Removed,
 }
@@ -16,30 +16,31 @@
 /// One entry of an endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// The server.
+    /// Identifier of the server.
     pub server: ServerId,
-    /// Its zone.
+    /// Number of its zone.
     pub zone: u8,
-    /// Its kind, an index into [`Settings::stream_capacity`](super::Settings::stream_capacity).
+    /// Kind of server, an index into [`Settings::stream_capacity`](super::Settings::stream_capacity).
     pub kind: u16,
-    /// Its cell.
+    /// Number of its cell. Titles are stored by cell.
     pub cell: u16,
-    /// Its state.
+    /// Whether it accepts sessions.
     pub lifecycle: Lifecycle,
-    /// Its capacity relative to other servers.
+    /// Capacity of its link, in units of [`Settings::link_kb`](super::Settings::link_kb). A value that is not positive
+    /// and finite counts as 1.
     pub weight: f64,
-    /// Its last start; zero: long ago.
+    /// When it last started; zero means long ago.
     pub started_at: Time,
 }
 
-/// How a list is to be read.
+/// How an endpoint list is to be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// Only what changed.
+    /// Only the entries that changed.
     Delta,
-    /// All there is.
+    /// All servers; those that are missing no longer exist.
     Full,
-    /// All there was when last received; may be outdated.
+    /// The last full list that was received; it may be outdated.
     Cached,
     /// A request to discovery failed; the list is empty.
     Failed,
@@ -48,11 +49,11 @@
 /// How sessions of a class may be served from another zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CrossZonePolicy {
-    /// Like from the replica's own zone.
+    /// Served as in the own zone of the replica.
     #[default]
     Allowed,
-    /// Only if no allowed zone has capacity.
+    /// Served only if no allowed zone has capacity.
     LastResort,
-    /// No session starts there or is promoted there.
+    /// No session is started or promoted there.
     Forbidden,
 }
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,53 +1,53 @@
-//! Events: what the embedder reports.
+//! Events that the embedder reports.
 use super::{CrossZonePolicy, Endpoint, EndpointListKind, LoadReport, RequestId, ServerId, Time};
 
 /// A viewer's request for a session.
 #[derive(Clone, Debug, Default)]
 pub struct SessionRequest {
-    /// The request.
+    /// Identifier of the request; each retry has its own.
     pub request: RequestId,
-    /// The viewer; the same when it comes again.
+    /// Identifier of the viewer, the same in all requests of that viewer.
     pub viewer: u64,
-    /// Class, an index into [`Settings::classes`](super::Settings::classes).
+    /// Class of the session, an index into [`Settings::classes`](super::Settings::classes).
     pub class: u8,
-    /// Tenant, an index into [`Settings::tenant_quota`](super::Settings::tenant_quota).
+    /// Tenant of the viewer, an index into [`Settings::tenant_quota`](super::Settings::tenant_quota).
     pub tenant: u16,
-    /// Title.
+    /// Identifier of the title to play.
     pub title: u64,
-    /// First cell that holds the title.
+    /// Number of the first cell that holds the title.
     pub first_cell: u32,
-    /// Cells in a row that hold it.
+    /// Number of consecutive cells that hold the title; it wraps around after the last cell.
     pub cell_count: u32,
-    /// Highest rung the viewer can use.
+    /// Highest rung that the viewer can use.
     pub max_rung: u8,
-    /// When the request times out.
+    /// When the request times out; no attempt is sent after it.
     pub deadline: Time,
-    /// Estimate of how long it will be watched, nanoseconds.
+    /// Estimated viewing time, nanoseconds; `None` if unknown.
     pub duration_hint: Option<u64>,
-    /// Whether it is a client's retry.
+    /// Whether the client retries an earlier request.
     pub is_retry: bool,
-    /// Whether it returns from a migration.
+    /// Whether the session returns after a migration.
     pub is_migration: bool,
 }
 
 /// How an attempt, or a health check, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The server completed it.
+    /// The server completed the attempt, or the session that it had established.
     Completed,
     /// The server answered with an error; the attempt may have been executed.
     ServerError,
-    /// The server rejected it; it was not executed.
+    /// The server rejected the attempt; it was not executed.
     Rejected,
-    /// No answer in time; it may have been executed.
+    /// There was no answer in time; the attempt may have been executed.
     Timeout,
-    /// No connection; it was not executed.
+    /// No connection could be made; the attempt was not executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection broke; the attempt may have been executed.
     Reset,
-    /// It was cancelled; it may have been executed.
+    /// The attempt was cancelled; it may have been executed.
     Cancelled,
-    /// It was not sent.
+    /// The attempt was not sent.
     NotSent,
 }
 
@@ -61,96 +61,97 @@
 /// An update on an established session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SessionUpdate {
-    /// Part of its rate that the server delivers.
+    /// Fraction of the session's rate that the server delivers.
     DeliveryRatio(f64),
-    /// The rung in force.
+    /// The rung that the server currently serves.
     Rung(u8),
-    /// What is asked of the link over its capacity.
+    /// Demand on the server's link divided by the link's capacity; may exceed 1.
     LinkDemand(f64),
-    /// What is asked of the rack's uplink over its capacity.
+    /// Demand on the rack's uplink divided by the uplink's capacity; may exceed 1.
     UplinkDemand(f64),
 }
 
-/// What happened.
+/// An event that the embedder reports.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An endpoint list was received.
     EndpointList(EndpointListKind, Vec<Endpoint>),
     /// A viewer requests a session.
     SessionRequested(SessionRequest),
-    /// A session was established before this replica started; its attempt has number 0.
+    /// A session was established at this server before this replica started. Its attempt has number 0.
     SessionAdopted(SessionRequest, ServerId),
     /// An attempt succeeded: its session is established.
     SessionEstablished {
-        /// The request.
+        /// The request that was attempted.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt within the request, counted from 0.
         attempt: u8,
-        /// The server.
+        /// The server of the session.
         server: ServerId,
-        /// Time since the attempt was sent.
+        /// Time from sending the attempt to its success, nanoseconds.
         setup_time: u64,
     },
     /// An update on one of this replica's sessions.
     SessionUpdated {
-        /// The request.
+        /// The request of the session.
         request: RequestId,
-        /// The server.
+        /// The server of the session.
         server: ServerId,
-        /// The update.
+        /// What has changed or was measured.
         update: SessionUpdate,
     },
     /// An attempt ended, or the session that it had established.
     AttemptEnded {
-        /// The request.
+        /// The request that was attempted.
         request: RequestId,
-        /// Number of the attempt, from 0.
+        /// Number of the attempt within the request, counted from 0.
         attempt: u8,
-        /// The server.
+        /// The server of the attempt.
         server: ServerId,
-        /// How it ended.
+        /// How the attempt or session ended.
         outcome: AttemptOutcome,
-        /// Whether the request has its final answer.
+        /// Whether the request has its final answer, so that no further attempt is wanted.
         is_final: bool,
-        /// The load report that came with it.
+        /// The load report that came with the end; empty if there was none.
         report: LoadReport,
     },
-    /// From now on sessions of a class may be served from a zone like this; until then, freely.
+    /// How sessions of a class may be served from a zone from now on. Without this event they may be served freely.
     CrossZonePolicyChanged {
         /// The zone of the servers.
         zone: u8,
-        /// The class.
+        /// The class, an index into [`Settings::classes`](super::Settings::classes).
         class: u8,
-        /// How.
+        /// How the servers of the zone may be used.
         policy: CrossZonePolicy,
     },
     /// The highest rung of a session changed; a session above it is demoted.
     MaxRungChanged {
-        /// The request.
+        /// The request of the session.
         request: RequestId,
-        /// The rung.
+        /// The new highest rung. The lowest rung of the class stays the lower bound.
         max_rung: u8,
     },
-    /// The viewer left; no answer is expected any more.
+    /// The viewer left and no longer expects an answer.
     ClientLeft(RequestId),
-    /// A timer that [`Action::SetTimer`](super::Action::SetTimer) set is due.
+    /// A timer that was set by [`Action::SetTimer`](super::Action::SetTimer) is due; the value is its token.
     Timer(u32),
     /// A health check ended.
     HealthCheckCompleted {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: AttemptOutcome,
-        /// The load report that came with it.
+        /// The load report that came with the answer; empty if there was none.
         report: LoadReport,
     },
-    /// Number of replicas as far as is known, this one included; in place of [`Settings::replica_count`](super::Settings::replica_count).
+    /// Number of replicas that are currently known, including this one. It replaces
+    /// [`Settings::replica_count`](super::Settings::replica_count).
     ReplicaCountChanged(u32),
-    /// A message of another replica.
+    /// A message from another replica.
     PeerMessage {
-        /// The replica's number.
+        /// Number of the sending replica, counted from 0.
         from: u32,
-        /// The message.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
 }
--- a/crates/policy/src/interface/ids.rs
+++ b/crates/policy/src/interface/ids.rs
@@ -1,9 +1,9 @@
-//! Identifiers.
+//! Identifiers of servers and requests.
 
-/// A media server, the same for every replica.
+/// Identifies a media server; all replicas use the same number for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// One request for a session; a viewer's retry is a new one.
+/// Identifies one request for a session; a retry by the viewer is a new request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
--- a/crates/policy/src/interface/load_report.rs
+++ b/crates/policy/src/interface/load_report.rs
@@ -1,33 +1,33 @@
-//! Load reports of servers, and the load that is estimated.
+//! Load reports of servers, and the estimates that are derived from them.
 use super::ServerId;
 
-/// One figure of a load report.
+/// A field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Streams that run or are being set up.
+    /// Number of streams that run or are being set up.
     Streams,
-    /// Part of the link that is in use, 1 at most.
+    /// Fraction of the link that is in use; capped at 1.
     LinkUtilization,
-    /// What is asked of the link over its capacity.
+    /// Demand on the link divided by its capacity; may exceed 1.
     LinkDemand,
-    /// What is asked of the rack's uplink over its capacity.
+    /// Demand on the rack's uplink divided by its capacity; may exceed 1.
     UplinkDemand,
-    /// Anything else.
+    /// Any other field; it is ignored.
     Other,
 }
 
-/// The figures of a load report, in no fixed order; empty if there was none.
+/// The fields of a load report with their values, in no fixed order; empty if there was no report.
 pub type LoadReport = Vec<(LoadField, f64)>;
 
-/// What is estimated of a server.
+/// The load estimate of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerEstimate {
-    /// The server.
+    /// The server that the estimate is for.
     pub server: ServerId,
-    /// What is asked of its link over the link's capacity.
+    /// Estimated demand on its link divided by the capacity; may exceed 1.
     pub link_fill: f64,
-    /// The same of its uplink.
+    /// Estimated demand on its rack's uplink divided by the capacity; may exceed 1.
     pub uplink_fill: f64,
-    /// Whether a set-up of an idempotent class may go there.
+    /// Whether a set-up of an idempotent class may be sent there now.
     pub usable: bool,
 }
--- a/crates/policy/src/interface/mod.rs
+++ b/crates/policy/src/interface/mod.rs
@@ -1,6 +1,6 @@
-//! What goes into a [`PlacementPolicy`](crate::PlacementPolicy) and what comes out of it. No choice is made here.
+//! Input and output types of a [`PlacementPolicy`](crate::PlacementPolicy). Nothing is decided here.
 //!
-//! Times and durations are in nanoseconds, rates in kB a second; rungs count from 0, the lowest.
+//! Times and durations are in nanoseconds, rates in kB per second. Rungs are counted from 0, the lowest.
 mod action;
 mod endpoint;
 mod event;
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,13 +1,14 @@
-//! What holds for a replica from its start: its settings and the classes of sessions.
+//! Settings of a replica, which are fixed from its start, and the classes of sessions.
 
 /// Whether an attempt of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be attempted again, and rejected, at any time.
+    /// An attempt may be repeated, and the request rejected, at any time.
     Idempotent,
-    /// Once an attempt may have been executed: again only in this scope and within [`Class::retry_window`].
+    /// Once an attempt may have been executed, it may be repeated only in this scope and within
+    /// [`Class::retry_window`].
     IdempotentWithin(RetryScope),
-    /// Again, or rejected, only if no earlier attempt can have been executed.
+    /// An attempt may be repeated, or the request rejected, only if no earlier attempt can have been executed.
     AtMostOnce,
 }
 
@@ -16,109 +17,110 @@
 pub enum RetryScope {
     /// Any server.
     All,
-    /// Those of the first attempt's zone.
+    /// Servers in the zone of the first attempt that may have been executed.
     Zone,
-    /// Those of its cell.
+    /// Servers in the cell of that attempt.
     Cell,
 }
 
 /// A class of sessions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Wanted bound for the time of a set-up, nanoseconds.
+    /// Target for the duration of a set-up, nanoseconds.
     pub latency_objective: u64,
     /// Whether an attempt may be repeated.
     pub idempotency: Idempotency,
-    /// With [`Idempotency::IdempotentWithin`]: how long after an attempt it may be repeated, nanoseconds.
+    /// How long after an attempt it may be repeated, nanoseconds; only for [`Idempotency::IdempotentWithin`].
     pub retry_window: u64,
-    /// Utility of a second at a rung of utility 1.
+    /// Utility of one second at a rung whose utility is 1.
     pub priority_weight: f64,
-    /// Lowest rung that may be set.
+    /// Lowest rung at which a session of the class may be served.
     pub min_rung: u8,
-    /// Highest rung of the class.
+    /// Highest rung at which a session of the class may be served.
     pub max_rung: u8,
-    /// Its rates over those of the ladder.
+    /// Factor by which the rates of the class exceed those of the ladder.
     pub rate_factor: f64,
-    /// Sessions of one title at once; 0: no cap.
+    /// Highest number of concurrent sessions of a title; 0 means no limit.
     pub max_sessions_per_title: u32,
     /// Whether viewers of one title share a stream.
     pub live: bool,
 }
 
-/// What holds for a replica from its start. The default is all zero: set what the fleet has.
+/// Settings of a replica. In the default everything is zero or empty, so set at least what describes the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[expect(clippy::struct_excessive_bools, reason = "independent permissions of a fleet")]
 pub struct Settings {
-    /// This replica's number, from 0.
+    /// Number of this replica, counted from 0.
     pub front_index: u32,
-    /// Number of replicas, this one included.
+    /// Number of replicas, including this one.
     pub replica_count: u32,
-    /// This replica's zone.
+    /// Number of the zone of this replica.
     pub zone: u8,
-    /// Classes of sessions.
+    /// Classes of sessions; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// Rates of the rungs, lowest first, kB a second.
+    /// Rates of the rungs, lowest first, kB per second.
     pub rung_kb: Vec<f64>,
-    /// Utility of each rung, 1 at most.
+    /// Utility of each rung, lowest first; at most 1.
     pub rung_utility: Vec<f64>,
-    /// Number of cells that titles are laid over.
+    /// Number of cells over which the titles are distributed.
     pub cells: u32,
-    /// Number of racks; a server's rack is its cell modulo this.
+    /// Number of racks. The rack of a server is its cell modulo this number.
     pub racks: u32,
-    /// Streams that a server of each kind runs at most.
+    /// Highest number of streams that a server of each kind can run.
     pub stream_capacity: Vec<u32>,
-    /// Capacity of all links together at the start, kB a second.
+    /// Summed capacity of all links at the start, kB per second.
     pub fleet_link_kb: f64,
-    /// Capacity of a server's link for each unit of its weight (rough), kB a second.
+    /// Approximate capacity of a server's link for each unit of its weight, kB per second.
     pub link_kb: f64,
-    /// Mean capacity of a rack's uplink, kB a second.
+    /// Mean capacity of a rack's uplink, kB per second.
     pub uplink_kb: f64,
-    /// A server rejects set-ups while so much of its link is in use; 0: never.
+    /// Fill of its link at which a server rejects set-ups; 0 means never.
     pub server_rejection_threshold: f64,
-    /// What a further viewer of a live stream adds, as a part of the rate; 1: streams are not shared.
+    /// Fraction of the rate that each further viewer of a live stream adds; 1 means that streams are not shared.
     pub shared_stream_factor: f64,
-    /// How old session updates are on arrival, nanoseconds.
+    /// Age of session updates on arrival, nanoseconds.
     pub update_delay: u64,
-    /// Time between updates on the link, nanoseconds; 0: there are none.
+    /// Time between updates on the link, nanoseconds; 0 means that there are none.
     pub update_interval: u64,
-    /// Points of utility lost for each point of the rate missing under 98 in 100.
+    /// Utility lost for each unit by which the delivered fraction of the rate falls below 0.98.
     pub shortfall_cost: f64,
-    /// A change of rung costs so many seconds of the class's utility.
+    /// Cost of a rung change, in seconds of the class's utility.
     pub rung_change_cost_seconds: f64,
-    /// Each tenant's quota over all replicas, requests a second.
+    /// Quota of each tenant over all replicas, requests per second.
     pub tenant_quota: Vec<f64>,
-    /// Weight of a request beyond its tenant's quota, as a part of the usual.
+    /// Weight of a request over its tenant's quota, as a fraction of the normal weight.
     pub over_quota_weight: f64,
-    /// Whether discovery only answers requests.
+    /// Whether discovery only answers requests and does not push changes.
     pub discovery_on_request: bool,
-    /// With [`Settings::discovery_on_request`]: how old the endpoint list may become, nanoseconds.
+    /// Highest age of the endpoint list, nanoseconds; only used with [`Settings::discovery_on_request`].
     pub max_discovery_age: u64,
-    /// Most attempts for a request.
+    /// Highest number of attempts for a request; 0 counts as 1.
     pub max_attempts: u32,
-    /// Longest Retry-After that clients follow, nanoseconds; 0: they follow none.
+    /// Longest Retry-After that clients respect, nanoseconds; 0 means that they respect none.
     pub max_retry_after: u64,
     /// Whether health checks may be sent.
     pub health_checks_allowed: bool,
-    /// Whether replicas may send each other messages.
+    /// Whether replicas may exchange messages.
     pub gossip_allowed: bool,
     /// Whether attempts may be cancelled.
     pub cancel_allowed: bool,
     /// Length of a server's slow start, nanoseconds.
     pub slow_start_duration: u64,
-    /// Part of its capacity that a server has at the start of it at least.
+    /// Fraction of its capacity that a server has at least at the beginning of its slow start.
     pub slow_start_min_factor: f64,
-    /// A server in slow start is overloaded by more than this multiple of the rate that it can serve ...
+    /// Multiple of the rate that a server in slow start can serve; more than that overloads it if it lasts for
+    /// [`Settings::overload_window`].
     pub overload_multiple: f64,
-    /// ... for this long, nanoseconds.
+    /// Time after which a server in slow start is overloaded by too many set-ups, nanoseconds.
     pub overload_window: u64,
-    /// Retries allowed however light the traffic; `None`: there is no retry budget.
+    /// Retries that are allowed even without traffic; `None` means that there is no retry budget.
     pub retry_budget_min: Option<f64>,
-    /// Retries allowed for each request received.
+    /// Additional retries that are allowed for each received request.
     pub retry_budget_ratio: f64,
-    /// Time over which the retry budget is counted, nanoseconds.
+    /// Window over which requests and retries are counted for the retry budget, nanoseconds.
     pub retry_budget_window: u64,
-    /// What serving a session from another zone costs, as a fraction of the result.
+    /// Cost of serving a session from another zone, as a fraction of the result.
     pub cross_zone_price: f64,
-    /// What migrating every session once costs, as a fraction of the result.
+    /// Cost of migrating every session once, as a fraction of the result.
     pub migration_price: f64,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,23 +1,31 @@
 //! Session placement and quality decisions for fleets of media servers.
 //!
-//! A [`PlacementPolicy`] makes the decisions of one session controller: at which server a viewer's session is set up, at
-//! which rung of the ladder of rates, when it is promoted or demoted, and when a request is rejected. It is pure: it
-//! reads no clock, does no I/O and starts no threads. The embedder reports each [`Event`] to
-//! [`PlacementPolicy::handle`] and carries out the [`Action`]s that it adds to the list, in order. The same events
-//! give the same actions.
+//! A [`PlacementPolicy`] makes the decisions of one session controller: which server a viewer's session is set up at,
+//! at which rung (one of the ladder's rates), when it is promoted or demoted, and when a request is rejected. It is
+//! deterministic and free of side effects: it reads no clock, does no I/O and starts no threads. The embedder passes
+//! each [`Event`] to [`PlacementPolicy::handle`] and carries out the [`Action`]s that it appends to the list, in order.
+//! The same events lead to the same actions.
 //!
-//! The decisions and tuned values stand in the modules that `deploy/balancer.toml` lists as `policy`: `policy`
-//! (events, each second), `load` (estimates), `regions` (sizing), `admission`, `attempts` (outcomes), `promotion`
-//! (and relief), `outliers` (ejection, slow start), `invariants` (guards). Beside them: `erlang` (loss queues), `state`
-//! (containers), `interface` (events and actions).
+//! The decisions and tuned values are in the modules that `deploy/balancer.toml` lists as `policy`: `policy` (event
+//! handling, the periodic tick), `load` (load estimates), `regions` (sizing and pricing), `admission` (server and rung
+//! of a request), `attempts` (outcomes), `promotion` (promotion and relief), `outliers` (ejection, slow start) and
+//! `invariants` (bounds on attempts). The other modules decide nothing: `erlang` (loss queues), `state` (data
+//! structures) and `interface` (events and actions).
 //!
-//! - Send a [`Event::EndpointList`] before the first request; a server that no list named is never used.
-//! - Each [`Event::SessionRequested`] leads at once to an attempt or to a final answer. While an attempt is out, the policy
-//!   waits for its [`Event::SessionEstablished`] or [`Event::AttemptEnded`]; attempts of a request are numbered from 0.
-//! - Every attempt ends with exactly one [`Event::AttemptEnded`], for an established session when it ends.
-//! - Call [`Event::Timer`] when an [`Action::SetTimer`] is due: regions are sized and sessions promoted then.
+//! Terms used throughout: the *fill* of a link or uplink is the demand on it divided by its capacity, and may exceed 1.
+//! A link is divided into *regions* of session slots, one region for each rung; a session that finds the region of its
+//! highest rung full spills over to the next lower one. *Own* sessions, rates and changes are those of this replica.
+//! *Relief* is the demotion of sessions at an overloaded link or uplink. A *stall* is a time in which this process did
+//! not run.
+//!
+//! - Send an [`Event::EndpointList`] before the first request; a server that was in no list is never used.
+//! - Each [`Event::SessionRequested`] leads at once to an attempt or to a final answer. While an attempt is in progress,
+//!   the policy waits for its [`Event::SessionEstablished`] or [`Event::AttemptEnded`]. The attempts of a request are
+//!   numbered from 0.
+//! - Every attempt ends with exactly one [`Event::AttemptEnded`]; that of an established session follows when it ends.
+//! - Send an [`Event::Timer`] when an [`Action::SetTimer`] is due: regions are sized and sessions promoted then.
 //! - Events about unknown or closed requests or unknown servers, numbers that are not finite and a clock that
-//!   does not advance are allowed: they break no guard and cause no panic.
+//!   does not advance are allowed: they violate no invariant and cause no panic.
 //!
 //! ```
 //! use crankpaddle::*;
--- a/crates/policy/src/outliers.rs
+++ b/crates/policy/src/outliers.rs
@@ -1,30 +1,30 @@
-//! Servers that fail or warm up: ejection, trials, and admission slots during slow start.
+//! Failing and starting servers: ejection, trial requests, and admission slots during slow start.
 use crate::interface::{Lifecycle, ServerId, Settings, Time};
-use crate::regions::MAX_PLACES;
-use crate::state::{Nanoseconds, PlacementPolicy, Server, SECOND};
+use crate::regions::MAX_COUNTED_STREAMS;
+use crate::state::{PlacementPolicy, ServerRecord, TimeArithmetic, SECOND};
 
-const EJECTION_MIN: u64 = SECOND; // First ejection of a server that failed, nanoseconds.
-const EJECTION_MAX: u64 = 8 * SECOND; // It doubles with each up to this.
-const TRIALS: u32 = 3; // Successes in a row after which a server that was ejected is trusted again.
-const SLOTS_IN_WINDOW: f64 = 2.0; // Windows in which slots begin that meet one window: it, and one before it.
-const STUCK_SETUPS: f64 = 4.0; // An attempt that is out for so many usual set-up times is stuck ...
-const STUCK_MIN: f64 = 0.3 * SECOND as f64; // ... but not before this time, nanoseconds.
+const MIN_EJECTION_NS: u64 = SECOND; // Length of the first ejection; each further one is twice as long, ...
+const MAX_EJECTION_NS: u64 = 8 * SECOND; // ... up to this.
+const REQUIRED_TRIALS: u32 = 3; // Successes in a row after which an ejected server takes all requests again.
+const OVERLAPPING_WINDOWS: f64 = 2.0; // Slots that overlap a window begin in it or in the one before it.
+const STUCK_SETUP_TIMES: f64 = 4.0; // An attempt pending for this many mean set-up times is stuck, ...
+const MIN_STUCK_NS: f64 = 0.3 * SECOND as f64; // ... but not before this time.
 
-impl Server {
-    /// Records a failure: the server is ejected, longer each time, then on trial with idempotent classes.
+impl ServerRecord {
+    /// Records a failure: ejects the server, longer each time; then idempotent classes try it first.
     pub(crate) fn record_failure(&mut self, now: Time) {
-        self.trials_left = TRIALS;
+        self.trials_left = REQUIRED_TRIALS;
         if now < self.ejected_until {
             return;
         }
-        let recovered = now.since(self.last_ejected_at) > 2 * EJECTION_MAX;
-        let longer = if recovered { 0 } else { self.ejection_duration * 2 };
+        let recovered = now.since(self.last_ejected_at) > 2 * MAX_EJECTION_NS;
+        let doubled = if recovered { 0 } else { self.ejection_duration * 2 };
         self.last_ejected_at = now;
-        self.ejection_duration = longer.clamp(EJECTION_MIN, EJECTION_MAX);
+        self.ejection_duration = doubled.clamp(MIN_EJECTION_NS, MAX_EJECTION_NS);
         self.ejected_until = now.plus(self.ejection_duration);
     }
 
-    /// Begins a slow start of `duration` after a connection failed or broke, unless one has begun already.
+    /// Begins a slow start of `duration` after a connection failed or broke, unless one was begun already.
     pub(crate) fn record_connection_failure(&mut self, now: Time, duration: u64) {
         if self.connection_failed {
             return;
@@ -34,7 +34,7 @@
         self.next_slot_start = self.next_slot_start.max(now);
     }
 
-    /// Records a success: one trial less, and a slow start of `duration` from now if connections had failed.
+    /// Records a success: counts a trial, and begins a slow start of `duration` if connections had failed.
     pub(crate) fn record_success(&mut self, now: Time, duration: u64) {
         self.trials_left = self.trials_left.saturating_sub(1);
         if self.connection_failed {
@@ -45,7 +45,7 @@
 }
 
 impl PlacementPolicy {
-    /// Whether a set-up may go to a server now: ready, not ejected or stuck, and no trial or slot forbids it.
+    /// Whether a set-up may go to a server now: ready, not ejected or stuck, no trial or slot to wait for.
     pub(crate) fn is_usable(&self, now: Time, id: ServerId, idempotent: bool) -> bool {
         let Some(server) = self.servers.get(&id) else { return false };
         if server.endpoint.lifecycle != Lifecycle::Ready || now < server.ejected_until {
@@ -56,40 +56,40 @@
         if on_trial || self.must_wait_for_slot(now, id, server) {
             return false;
         }
-        let patience = (STUCK_SETUPS * self.mean_setup_time).max(STUCK_MIN) as u64;
-        // Why: attempts that waited while we stood still ourselves are not the server's fault.
-        !in_flight().any(|(_, session)| now.since(session.rung_set_at.max(self.stall_detected_at)) > patience)
+        let max_wait = (STUCK_SETUP_TIMES * self.mean_setup_time).max(MIN_STUCK_NS) as u64;
+        // Attempts that waited during a stall of this process are not the server's fault.
+        !in_flight().any(|(_, session)| now.since(session.rung_set_at.max(self.stall_detected_at)) > max_wait)
     }
 
-    /// Whether a server is in slow start and this replica has no admission slot that it may use now.
-    fn must_wait_for_slot(&self, now: Time, id: ServerId, server: &Server) -> bool {
+    /// Whether a server is in slow start and this replica has no unused admission slot there now.
+    fn must_wait_for_slot(&self, now: Time, id: ServerId, server: &ServerRecord) -> bool {
         if now >= server.slow_start_until {
             return false;
         }
-        let slot = admission_slot(&self.settings, server, id, now);
+        let slot = open_slot(&self.settings, server, id, now);
         now < server.next_slow_start_attempt || slot.is_none_or(|start| start < server.next_slot_start)
     }
 }
 
-/// Nanoseconds between a replica's admission slots at a server in slow start: all replicas' slots that meet a
-/// window of the rule are what the rule allows in it, and one more at most.
-pub(crate) fn slow_start_interval(settings: &Settings, server: &Server) -> u64 {
-    let setups_per_nanosecond = server.stream_capacity.min(MAX_PLACES)
+/// Nanoseconds between a replica's admission slots at a server in slow start. In any overload window, all
+/// replicas together have at most one slot more than the set-ups that do not overload the server.
+pub(crate) fn slow_start_interval(settings: &Settings, server: &ServerRecord) -> u64 {
+    let setups_per_nanosecond = server.stream_capacity.min(MAX_COUNTED_STREAMS)
         / settings.slow_start_duration.max(1) as f64
         * settings.slow_start_min_factor
         * settings.overload_multiple;
     let replicas = f64::from(settings.replica_count.max(1));
-    (replicas * SLOTS_IN_WINDOW / setups_per_nanosecond.max(1e-12)) as u64
+    (replicas * OVERLAPPING_WINDOWS / setups_per_nanosecond.max(1e-12)) as u64
 }
 
-/// When this replica's present admission slot at a server in slow start began, if it is in one; each allows a
-/// set-up. Why: slots counted from each replica's own set-ups drift until they meet; so all are on one grid
-/// from the start that the list states. The price: many replicas leave a server in slow start idle.
-pub(crate) fn admission_slot(settings: &Settings, server: &Server, id: ServerId, now: Time) -> Option<Time> {
+/// Start of this replica's open admission slot at a server in slow start, if any; a slot allows one set-up.
+/// All replicas share a grid from the listed start time, because slots counted from each replica's own
+/// set-ups drift until they coincide. The cost is that many replicas leave a server in slow start idle.
+pub(crate) fn open_slot(settings: &Settings, server: &ServerRecord, id: ServerId, now: Time) -> Option<Time> {
     let replicas = u64::from(settings.replica_count.max(1));
     let interval = slow_start_interval(settings, server).max(1);
     let position = (u64::from(settings.front_index) + u64::from(id.0)) % replicas;
-    let first = (interval as f64 * (position as f64 + 0.5) / replicas as f64) as u64;
-    let into_slot = now.since(server.endpoint.started_at).checked_sub(first)? % interval;
-    (into_slot <= settings.overload_window).then(|| Time(now.0 - into_slot))
+    let first_offset = (interval as f64 * (position as f64 + 0.5) / replicas as f64) as u64;
+    let slot_age = now.since(server.endpoint.started_at).checked_sub(first_offset)? % interval;
+    (slot_age <= settings.overload_window).then(|| Time(now.0 - slot_age))
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,21 +1,21 @@
-//! What one session controller does on each event and each second.
+//! Event handling and the periodic tick of one session controller.
 use crate::interface::{Action, Endpoint, EndpointListKind, Event, Time};
 use crate::regions::REPRESENTATIVE_SESSIONS;
-use crate::state::{Actions, EndedAttempt, Nanoseconds, PlacementPolicy, SECOND};
+use crate::state::{Actions, EndedAttempt, PlacementPolicy, TimeArithmetic, SECOND};
 
-pub(crate) const STALL: u64 = SECOND / 2; // A timer later than this shows that we stood still, nanoseconds.
-pub(crate) const INITIAL_SESSION_SECONDS: f64 = 30.0; // Length of a session assumed at first ...
-pub(crate) const INITIAL_COMPLETED: f64 = 3.0; // ... and the completed sessions that it counts for.
-pub(crate) const INITIAL_SETUP_TIME: f64 = 0.15 * SECOND as f64; // Set-up time assumed at first, nanoseconds.
-pub(crate) const ARRIVAL_SECONDS: f64 = 15.0; // Arrivals count for so many seconds ...
-const ARRIVAL_REQUESTS: f64 = 10.0; // ... or until so many have come.
+pub(crate) const STALL_THRESHOLD_NS: u64 = SECOND / 2; // A tick this late means that this process stalled.
+pub(crate) const INITIAL_SESSION_SECONDS: f64 = 30.0; // Mean session length assumed at the start, ...
+pub(crate) const INITIAL_COMPLETED: f64 = 3.0; // ... which weighs as much as this many completed sessions.
+pub(crate) const INITIAL_SETUP_TIME_NS: f64 = 0.15 * SECOND as f64; // Mean set-up time assumed at the start.
+pub(crate) const ARRIVAL_WINDOW_SECONDS: f64 = 15.0; // Time constant of the arrival counts; ...
+const ARRIVAL_WINDOW_REQUESTS: f64 = 10.0; // ... longer if fewer requests than this arrive in that time.
 
 impl PlacementPolicy {
-    /// Takes an event and adds what is to be done for it to `actions`, in order.
+    /// Handles one event and appends the resulting actions to `actions`, in the order to carry them out.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.advance_clock(now, actions);
         match event {
-            Event::EndpointList(kind, entries) => self.endpoints_listed(kind, entries, actions),
+            Event::EndpointList(kind, entries) => self.apply_endpoints(kind, entries, actions),
             Event::SessionRequested(request) => self.handle_request(now, request, actions),
             Event::SessionAdopted(request, server) => self.session_adopted(now, request, server),
             Event::SessionEstablished { request, server, setup_time, .. } => {
@@ -32,7 +32,7 @@
             Event::CrossZonePolicyChanged { zone, class, policy } => {
                 self.cross_zone_policies.insert((zone, class), policy);
             }
-            Event::MaxRungChanged { request, max_rung } => self.max_rung_changed(request, max_rung, actions),
+            Event::MaxRungChanged { request, max_rung } => self.change_max_rung(request, max_rung, actions),
             Event::ClientLeft(request) => self.client_left(request),
             Event::Timer(_) => self.tick(now, actions),
             Event::HealthCheckCompleted { server, report, .. } => self.apply_report(now, server, &report),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes the time of an event, and sets the first timer on the first one.
+    /// Advances the clock to an event and detects stalls of this process; the first event starts the timer.
     fn advance_clock(&mut self, now: Time, actions: &mut Actions) {
         if self.last_tick.is_none() {
             self.last_tick = Some(now);
@@ -50,15 +50,15 @@
                 actions.push(Action::SubscribeEndpoints);
             }
         }
-        // Why: a replica that stood still blames servers for answers that it had no time to read.
-        if self.last_tick.is_some_and(|tick| now > tick.plus(SECOND + STALL)) {
+        // After a stall, answers that this process had no time to read would look like server time-outs.
+        if self.last_tick.is_some_and(|tick| now > tick.plus(SECOND + STALL_THRESHOLD_NS)) {
             self.stall_detected_at = now;
         }
         self.now = now;
     }
 
-    /// Takes an endpoint list.
-    fn endpoints_listed(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>, actions: &mut Actions) {
+    /// Applies an endpoint list. After a failed discovery request, subscribes again, once a second at most.
+    fn apply_endpoints(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>, actions: &mut Actions) {
         let now = self.now;
         if kind == EndpointListKind::Failed {
             if self.settings.discovery_on_request && now.since(self.endpoints_refreshed_at) > SECOND {
@@ -87,7 +87,7 @@
         self.record_endpoint(endpoint);
     }
 
-    /// The work of each second.
+    /// The periodic work, once a second: discovery, eviction, load aggregates, the price and promotions.
     fn tick(&mut self, now: Time, actions: &mut Actions) {
         let Some(last_tick) = self.last_tick else { return };
         if now <= last_tick {
@@ -117,11 +117,11 @@
         }
     }
 
-    /// Lets the counts of arrivals decay.
+    /// Decays the arrival counts exponentially over `elapsed` seconds.
     fn decay_arrivals(&mut self, elapsed: f64) {
         let rate = self.arrivals.requests / self.arrivals.seconds.max(1.0);
-        let by_time = 1.0 / (ARRIVAL_SECONDS * self.pause_factor());
-        let factor = (-elapsed * by_time.min(rate / ARRIVAL_REQUESTS)).exp();
+        let by_time = 1.0 / (ARRIVAL_WINDOW_SECONDS * self.pause_factor());
+        let factor = (-elapsed * by_time.min(rate / ARRIVAL_WINDOW_REQUESTS)).exp();
         self.arrivals.decay(factor, elapsed);
         for server in self.servers.values_mut() {
             server.arrivals *= factor;
--- a/crates/policy/src/regions.rs
+++ b/crates/policy/src/regions.rs
@@ -1,52 +1,52 @@
-//! Slot regions of a link, one a rung: how they are sized by the loss queues, and which rung repays its rate.
+//! Sizes the slot regions of a link, one for each rung, by loss queues, and prices the rungs.
 use crate::erlang::{benefit, benefits};
 use crate::interface::{ServerId, Time};
 use crate::policy::INITIAL_SESSION_SECONDS;
 use crate::state::{
-    log_step, step_value, Nanoseconds, PlacementPolicy, RegionKey, RequestKind, SlotBudget, Split,
+    log_step, step_value, PlacementPolicy, RegionKey, RequestKind, SlotBudget, Split, TimeArithmetic,
     UplinkGroup, SECOND,
 };
 
-pub(crate) const HEADROOM_MARK: f64 = 0.9; // Part of a link or uplink that slots may fill.
-const PRICED_FILL: f64 = 0.8; // Part of the links that the expected sessions are priced to fill.
-const PRICE_STEPS: usize = 30; // Halvings of the range that the price is sought in.
-pub(crate) const REPRESENTATIVE_SESSIONS: f64 = 30.0; // So many sessions stand for all well enough.
-const RESIZE_INTERVAL: u64 = 10 * SECOND; // Regions are sized again after this time, nanoseconds.
-const PAUSE_FACTOR_MIN: f64 = 0.1; // Pauses are cut to this part at most.
-const ALIKE_ARRIVALS: f64 = 0.2; // Links this close in arrivals (in the logarithm) ...
-const ALIKE_CAPACITY: f64 = 0.05; // ... and this close in capacity are sized alike.
-pub(crate) const MAX_PLACES: f64 = 10_000.0; // Streams of a server that are counted at most.
-const MAX_TRADES: usize = 200; // Trades of slots in a climb.
-const FIRST_TRADES: u32 = 16; // A climb's first trades move one in so many of all slots.
-const TRADE_SHRINK: f64 = 4.0; // A trade that no longer gains is made so many times smaller.
-const TOLERANCE: f64 = 1e-9; // For comparisons of rates and benefits.
+pub(crate) const ADMISSION_MAX_FILL: f64 = 0.9; // Fill of link and uplink that slots and set-ups may reach.
+const PRICE_TARGET_FILL: f64 = 0.8; // Fill of all links that the price aims at for the expected sessions.
+const PRICE_BISECTIONS: usize = 30; // Bisection steps of the search for the price.
+pub(crate) const REPRESENTATIVE_SESSIONS: f64 = 30.0; // Sessions that make a representative sample.
+const RESIZE_INTERVAL_NS: u64 = 10 * SECOND; // Time between two sizings of a server's regions.
+const MIN_PAUSE_FACTOR: f64 = 0.1; // Pauses are not shortened below this fraction.
+const OFFERED_STEP_WIDTH: f64 = 0.2; // Links in the same step of offered load (width in ln) ...
+const BUDGET_STEP_WIDTH: f64 = 0.05; // ... and in the same step of capacity (width in ln) are sized alike.
+pub(crate) const MAX_COUNTED_STREAMS: f64 = 10_000.0; // Higher stream capacities count as this one.
+const MAX_TRADES: usize = 200; // Most trades of slots in one climb.
+const INITIAL_TRADE_DIVISOR: u32 = 16; // A climb's first trades move 1/16 of the slots that it starts with.
+const TRADE_SIZE_DIVISOR: f64 = 4.0; // The trade size is divided by this when no trade gains any more.
+const TOLERANCE: f64 = 1e-9; // For comparisons of rates and of benefits.
 
-/// The search for the slots that earn most.
+/// The search for the slots of each rung that yield the highest benefit.
 struct RegionSearch<'a> {
     offered: f64,
     utility: &'a [f64],
-    penalty: f64, // What a request that gets no slot costs.
+    penalty: f64, // Cost of a request that gets no slot.
     budget: SlotBudget<'a>,
 }
 
 impl RegionSearch<'_> {
-    /// Climbs by trades from the split that has slots of rung `start` only.
+    /// Hill climbing by trades of slots, from the allocation that has slots of rung `start` only.
     fn climb(&self, start: usize) -> Split {
         let slots = self.trade(&vec![0; self.budget.rung_kb.len()], start, start, 1.0);
         let mut best = Split { benefit: benefit(self.offered, &slots, self.utility, self.penalty), slots };
-        // Why: with hundreds of slots, trades of single ones take too long.
-        let mut step = f64::from(best.slots[start] / FIRST_TRADES).max(1.0);
+        // Starts with large trades: with hundreds of slots, trading single ones takes too long.
+        let mut step = f64::from(best.slots[start] / INITIAL_TRADE_DIVISOR).max(1.0);
         for _ in 0..MAX_TRADES {
             match self.best_trade(&best.slots, step).filter(|next| next.benefit > best.benefit + TOLERANCE) {
                 Some(next) => best = next,
-                None if step > 1.0 => step = (step / TRADE_SHRINK).floor().max(1.0),
+                None if step > 1.0 => step = (step / TRADE_SIZE_DIVISOR).floor().max(1.0),
                 None => break,
             }
         }
         best
     }
 
-    /// The trade of `step` slots that earns most.
+    /// The trade of `step` slots with the highest benefit; `None` if none fits the budget.
     fn best_trade(&self, slots: &[u32], step: f64) -> Option<Split> {
         let rungs = self.budget.rung_kb.len();
         let pairs = (0..rungs).flat_map(|from| (0..rungs).map(move |to| (from, to)));
@@ -58,21 +58,21 @@
         valued.max_by(|a, b| a.benefit.total_cmp(&b.benefit))
     }
 
-    /// Gives up as few slots of rung `from` as make way for `step` more of `to`, and adds as many as fit.
+    /// Removes as few slots of rung `from` as make room for `step` of `to`, then adds as many of `to` as fit.
     fn trade(&self, slots: &[u32], from: usize, to: usize, step: f64) -> Vec<u32> {
         let (budget, rung_kb) = (&self.budget, self.budget.rung_kb);
         let mut traded = slots.to_vec();
-        let equal = (step * rung_kb[to] / rung_kb[from].max(TOLERANCE)).ceil().max(1.0);
-        let fewer = if from == to { 0.0 } else { equal };
-        traded[from] = traded[from].saturating_sub(fewer as u32);
-        let more = (budget.free_kb(&traded) / rung_kb[to].max(TOLERANCE)).max(0.0) as u32;
-        traded[to] += more.min(budget.max_slots.saturating_sub(traded.iter().sum()));
+        let replaced = (step * rung_kb[to] / rung_kb[from].max(TOLERANCE)).ceil().max(1.0);
+        let removed = if from == to { 0.0 } else { replaced };
+        traded[from] = traded[from].saturating_sub(removed as u32);
+        let added = (budget.free_kb(&traded) / rung_kb[to].max(TOLERANCE)).max(0.0) as u32;
+        traded[to] += added.min(budget.max_slots.saturating_sub(traded.iter().sum()));
         traded
     }
 }
 
-/// The regions that earn most: slots of each rung (lowest first) whose rates fit `budget`, up to `max_slots`.
-/// A climb by trades of slots from each all-one-rung start, bounded in steps.
+/// Slots of each rung, lowest first, with the highest benefit; their rates fit `budget`, kB per second.
+/// The best of the hill climbs that start from a single rung each; their number of steps is bounded.
 pub fn best_regions(offered: f64, rung_kb: &[f64], utility: &[f64], budget: f64, max_slots: u32) -> Vec<u32> {
     let penalty = utility.first().copied().unwrap_or(0.0);
     let budget = SlotBudget { rung_kb, budget_kb: budget + TOLERANCE, max_slots };
@@ -82,56 +82,56 @@
 }
 
 impl PlacementPolicy {
-    /// Departure: pauses are for sessions of half a minute; where they are shorter, all goes faster.
+    /// Factor that shortens all pauses where sessions are shorter than the half minute they are meant for.
     pub(crate) fn pause_factor(&self) -> f64 {
-        (self.mean_session_seconds() / INITIAL_SESSION_SECONDS).clamp(PAUSE_FACTOR_MIN, 1.0)
+        (self.mean_session_seconds() / INITIAL_SESSION_SECONDS).clamp(MIN_PAUSE_FACTOR, 1.0)
     }
 
-    /// A pause of `nanoseconds`, cut where sessions are short.
+    /// A pause of `nanoseconds`, shortened where sessions are short.
     pub(crate) fn scaled_pause(&self, nanoseconds: u64) -> u64 {
         (nanoseconds as f64 * self.pause_factor()) as u64
     }
 
-    /// Sizes a link's regions if that is due. Its own arrivals weigh as much as the mean once it expects one.
+    /// Sizes a server's regions if due. Its own arrivals weigh as much as the mean once it expects one.
     pub(crate) fn size_regions(&mut self, now: Time, id: ServerId) {
         let mean_arrivals = self.arrivals.requests / self.fleet.servers_up.max(1.0);
         let rate = mean_arrivals / self.arrivals.seconds.max(1.0);
         let mean_offered = rate * self.fleet.demand_over_own * self.mean_session_seconds();
-        let interval = self.scaled_pause(RESIZE_INTERVAL);
+        let interval = self.scaled_pause(RESIZE_INTERVAL_NS);
         let Some(server) = self.servers.get_mut(&id) else { return };
         if server.regions_sized_at.is_some_and(|sized_at| now.since(sized_at) < interval) {
             return;
         }
         server.regions_sized_at = Some(now);
         let group = &self.uplink_groups[server.uplink_group];
-        let uplink_part = (group.uplink.capacity_kb / group.link_capacity_kb.max(1.0)).min(1.0);
-        let budget_kb = HEADROOM_MARK * server.link.capacity_kb * uplink_part / self.fleet.rate_factor;
+        let uplink_share = (group.uplink.capacity_kb / group.link_capacity_kb.max(1.0)).min(1.0);
+        let budget_kb = ADMISSION_MAX_FILL * server.link.capacity_kb * uplink_share / self.fleet.rate_factor;
         let offered = mean_offered * (1.0 + server.arrivals) / (1.0 + mean_arrivals);
         let key = RegionKey {
-            offered_step: log_step(offered, ALIKE_ARRIVALS),
-            budget_step: log_step(budget_kb, ALIKE_CAPACITY),
-            max_slots: server.stream_capacity.min(MAX_PLACES) as u32,
+            offered_step: log_step(offered, OFFERED_STEP_WIDTH),
+            budget_step: log_step(budget_kb, BUDGET_STEP_WIDTH),
+            max_slots: server.stream_capacity.min(MAX_COUNTED_STREAMS) as u32,
         };
         let settings = &self.settings;
         let slots = self.sized_regions.entry(key).or_insert_with(|| {
-            let offered = step_value(key.offered_step, ALIKE_ARRIVALS);
-            let budget_kb = step_value(key.budget_step, ALIKE_CAPACITY);
+            let offered = step_value(key.offered_step, OFFERED_STEP_WIDTH);
+            let budget_kb = step_value(key.budget_step, BUDGET_STEP_WIDTH);
             best_regions(offered, &settings.rung_kb, &settings.rung_utility, budget_kb, key.max_slots)
         });
         server.region_slots.clone_from(slots);
     }
 
-    /// Sets the price of a kB at which all sessions would just fill the links, if they grow as ours would.
+    /// Sets the price of a kB at which all sessions fill the links to the target, if others react like ours.
     pub(crate) fn reprice(&mut self) {
         let demand_kb: f64 = (0..self.uplink_groups.len())
             .map(|group| self.uplink_fill(group) * self.uplink_groups[group].uplink.capacity_kb)
             .sum();
         let capacity_kb: f64 = self.uplink_groups.iter().map(UplinkGroup::capacity_kb).sum();
-        let budget_kb = capacity_kb * PRICED_FILL;
-        // A replica with few sessions prices for its recent requests too.
+        let budget_kb = capacity_kb * PRICE_TARGET_FILL;
+        // Where our own sessions are too few for a sample, recent requests are added.
         let kinds = self.session_kinds(REPRESENTATIVE_SESSIONS as usize);
         let (mut low, mut high) = (0.0, self.highest_price());
-        for _ in 0..PRICE_STEPS {
+        for _ in 0..PRICE_BISECTIONS {
             self.price_per_kb = 0.5 * (low + high);
             let priced_kb: f64 =
                 kinds.iter().map(|kind| self.rate_kb(kind.class, self.priced_rung(*kind))).sum();
@@ -144,22 +144,22 @@
         self.price_per_kb = high;
     }
 
-    /// A price at which no class repays more than its lowest rung.
+    /// A price at which no class gains from more than its lowest rung: the upper end of the search.
     fn highest_price(&self) -> f64 {
         let weights = self.settings.classes.iter().map(|c| c.priority_weight / c.rate_factor.max(1e-6));
         let lowest_kb = self.settings.rung_kb.first().map_or(1.0, |kb| kb.max(1e-6));
         weights.fold(0.0, f64::max) / lowest_kb
     }
 
-    /// The rung that earns most at the present price.
+    /// The rung with the highest utility less price of its rate.
     pub(crate) fn priced_rung(&self, kind: RequestKind) -> u8 {
         let Some(class) = self.class(kind.class) else { return 0 };
-        let earns = |rung: u8| {
+        let net_utility = |rung: u8| {
             let utility = self.settings.rung_utility.get(usize::from(rung)).copied().unwrap_or(0.0);
             class.priority_weight * utility - self.price_per_kb * self.rate_kb(kind.class, rung)
         };
-        let top = kind.max_rung.min(class.max_rung).min(self.last_rung());
-        let better = |best: u8, rung: u8| if earns(rung) > earns(best) { rung } else { best };
-        (class.min_rung..=top).fold(class.min_rung, better)
+        let max_rung = kind.max_rung.min(class.max_rung).min(self.last_rung());
+        let better = |best: u8, rung: u8| if net_utility(rung) > net_utility(best) { rung } else { best };
+        (class.min_rung..=max_rung).fold(class.min_rung, better)
     }
 }
--- a/crates/policy/src/state/accounting.rs
+++ b/crates/policy/src/state/accounting.rs
@@ -1,10 +1,10 @@
-//! Upkeep of what is counted: sessions and their rates at servers, requests and arrivals. No choice is made here.
-use crate::admission::RECENT_REQUESTS;
+//! Bookkeeping of sessions and their rates at servers, of requests and of arrivals. Nothing is decided here.
+use crate::admission::MAX_RECENT_REQUESTS;
 use crate::interface::{Endpoint, Lifecycle, RequestId, ServerId, SessionRequest, Time};
-use crate::state::{PlacementPolicy, RequestKind, Server, Session};
+use crate::state::{PlacementPolicy, RequestKind, ServerRecord, SessionRecord};
 use std::collections::BTreeSet;
 
-/// Whether a session's rate begins or ceases to count at its server.
+/// Whether a session's rate is added to the load of its server or removed from it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Accounting {
     Add,
@@ -12,23 +12,28 @@
 }
 
 impl SessionRequest {
-    /// What its rate depends on.
+    /// The properties of the request that its rate depends on.
     pub(crate) fn kind(&self) -> RequestKind {
         RequestKind { class: self.class, max_rung: self.max_rung }
     }
 }
 
 impl PlacementPolicy {
-    /// Keeps a request as a session that is pending.
+    /// Stores a request as a pending session.
     pub(crate) fn insert_session(&mut self, now: Time, request: SessionRequest) {
         self.recent_requests.push_front(request.kind());
-        self.recent_requests.truncate(RECENT_REQUESTS);
-        let session =
-            Session { rung_set_at: now, next_promotion: now, started_at: now, request, ..Session::default() };
+        self.recent_requests.truncate(MAX_RECENT_REQUESTS);
+        let session = SessionRecord {
+            rung_set_at: now,
+            next_promotion: now,
+            started_at: now,
+            request,
+            ..SessionRecord::default()
+        };
         self.sessions.insert(session.request.request, session);
     }
 
-    /// Counts an arrival, also at the servers that hold the title.
+    /// Counts an arrival in total and, in equal shares, at the servers that are up and hold the title.
     pub(crate) fn count_arrival(&mut self, request: &SessionRequest) {
         let mut holders = self.holders(request);
         holders.retain(|id| self.servers[id].is_up());
@@ -40,7 +45,8 @@
         }
     }
 
-    /// Adds a session's rate to the load of its server and uplink, or removes it.
+    /// Adds a session's rate to the load of its server and uplink, or removes it. Does nothing if the session is at no
+    /// server.
     pub(crate) fn account_for(&mut self, now: Time, request: RequestId, accounting: Accounting) {
         let Some(session) = self.sessions.get(&request) else { return };
         let Some(id) = session.server() else { return };
@@ -57,26 +63,26 @@
             Accounting::Add => server.sessions.insert(request),
             Accounting::Remove => server.sessions.remove(&request),
         };
-        server.link.add_own(now, change);
+        server.link.add_own_change(now, change);
         let group = &mut self.uplink_groups[server.uplink_group];
-        group.uplink.add_own(now, change);
+        group.uplink.add_own_change(now, change);
         group.link_demand_kb += change;
     }
 
-    /// Rate of a session at a server, less if it shares a live stream there.
-    fn rate_at(&self, server: &Server, request: RequestId, session: &Session) -> f64 {
+    /// Rate of a session at a server, kB per second; reduced if it shares a live stream with another session there.
+    fn rate_at(&self, server: &ServerRecord, request: RequestId, session: &SessionRecord) -> f64 {
         let rate_kb = self.rate_kb(session.request.class, session.rung);
         if !self.class(session.request.class).is_some_and(|class| class.live) {
             return rate_kb;
         }
-        let stream = |session: &Session| (session.request.title, session.request.class, session.rung);
+        let stream = |session: &SessionRecord| (session.request.title, session.request.class, session.rung);
         let shared = self
             .sessions_at(server)
-            .any(|(other, there)| other != request && stream(there) == stream(session));
+            .any(|(other, candidate)| other != request && stream(candidate) == stream(session));
         rate_kb * if shared { self.settings.shared_stream_factor } else { 1.0 }
     }
 
-    /// Counts a session in the region of another rung.
+    /// Moves a session to the region of another rung.
     pub(crate) fn move_to_region(&mut self, now: Time, request: RequestId, rung: u8) {
         self.account_for(now, request, Accounting::Remove);
         if let Some(session) = self.sessions.get_mut(&request) {
@@ -92,7 +98,7 @@
         sum.max(1e-3) / self.recent_requests.len().max(1) as f64
     }
 
-    /// Rates of our own sessions in each region, kB a second.
+    /// Summed rates of our own sessions in each region, lowest rung first, kB per second.
     pub(crate) fn own_rate_by_region(&self) -> Vec<f64> {
         let mut rates = vec![0.0; self.settings.rung_kb.len()];
         for session in self.sessions.values().filter(|session| session.server().is_some()) {
@@ -103,7 +109,8 @@
         rates
     }
 
-    /// Records the entry that a list has of a server: its place in the fleet and what it can carry.
+    /// Records a server's entry in an endpoint list: its cell and uplink group, and its capacity. A weight that is not
+    /// positive and finite counts as 1.
     pub(crate) fn record_endpoint(&mut self, endpoint: Endpoint) {
         let has_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
         let weight = if has_weight { endpoint.weight } else { 1.0 };
@@ -118,8 +125,9 @@
         server.endpoint = endpoint;
     }
 
-    /// Evicts removed servers once nothing of them matters. Why: where servers are replaced all the time, memory
-    /// would grow without bound.
+    /// Evicts removed servers once nothing depends on them: no session of ours, no slow start or ejection, no possible
+    /// execution of a pending request. Where servers are replaced all the time, memory would otherwise grow without
+    /// bound.
     pub(crate) fn evict_removed(&mut self, now: Time) {
         let (cells, sessions) = (&mut self.servers_by_cell, &self.sessions);
         self.servers.retain(|id, server| {
@@ -136,7 +144,7 @@
         });
     }
 
-    /// Marks servers that a complete list does not name as removed.
+    /// Marks the servers that are missing from a complete list as removed.
     pub(crate) fn remove_unlisted(&mut self, entries: &[Endpoint]) {
         let listed: BTreeSet<ServerId> = entries.iter().map(|endpoint| endpoint.server).collect();
         for (_, server) in self.servers.iter_mut().filter(|(id, _)| !listed.contains(id)) {
@@ -144,23 +152,23 @@
         }
     }
 
-    /// Records that a viewer left.
+    /// Records that the viewer of a request left.
     pub(crate) fn client_left(&mut self, request: RequestId) {
         if let Some(session) = self.sessions.get_mut(&request) {
             session.client_left = true;
         }
     }
 
-    /// Kinds of our own sessions, and of recent requests if there are fewer than `least`.
-    pub(crate) fn session_kinds(&self, least: usize) -> Vec<RequestKind> {
+    /// Kinds of our own sessions, filled up with recent requests to `min_count` as far as there are any.
+    pub(crate) fn session_kinds(&self, min_count: usize) -> Vec<RequestKind> {
         let placed = self.sessions.values().filter(|session| session.server().is_some());
         let mut kinds: Vec<_> = placed.map(|session| session.request.kind()).collect();
-        let missing = least.saturating_sub(kinds.len());
+        let missing = min_count.saturating_sub(kinds.len());
         kinds.extend(self.recent_requests.iter().take(missing));
         kinds
     }
 
-    /// Sessions of a title and class that are at servers.
+    /// Number of sessions of a title and class that are established or being attempted.
     pub(crate) fn sessions_of_title(&self, class: u8, title: u64) -> usize {
         let placed = self.sessions.values().filter(|session| session.server().is_some());
         placed.filter(|session| (session.request.class, session.request.title) == (class, title)).count()
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What a replica keeps of servers, sessions and the fleet: containers and their upkeep, without a choice or a tuned
-//! value. The choices stand in the modules that the deploy file lists as the policy.
+//! State of a replica: servers, sessions, the fleet, and their bookkeeping. Decisions and tuned values are kept out of
+//! it; they are in the modules that `deploy/balancer.toml` lists as `policy`.
 mod accounting;
 mod controller;
 mod fleet;
@@ -13,10 +13,10 @@
     weighted_mean, ArrivalCount, FleetAggregates, LoadEstimate, OwnChange, SessionChange, TenantUsage,
     UplinkGroup,
 };
-pub(crate) use server::{Server, ShortDelivery};
-pub(crate) use session::{Demotion, EndedAttempt, Offer, RequestKind, Session, SessionState};
+pub(crate) use server::{ServerRecord, ShortDelivery};
+pub(crate) use session::{Demotion, EndedAttempt, Offer, RequestKind, SessionRecord, SessionState};
 pub(crate) use slots::{log_step, step_value, RegionKey, SlotBudget, Split};
-pub(crate) use time::{Nanoseconds, SECOND};
+pub(crate) use time::{TimeArithmetic, SECOND};
 
-/// What is to be done, in order.
+/// Actions for the embedder, in the order to carry them out.
 pub(crate) type Actions = Vec<crate::interface::Action>;
--- a/crates/policy/src/state/server.rs
+++ b/crates/policy/src/state/server.rs
@@ -1,54 +1,55 @@
-//! A media server as one replica sees it.
-use super::{LoadEstimate, Nanoseconds};
+//! State of a media server, as known to one replica.
+use super::{LoadEstimate, TimeArithmetic};
 use crate::interface::{Endpoint, Lifecycle, RequestId, Time};
 use std::collections::BTreeSet;
 
-/// A media server that an endpoint list named.
+/// A media server that was in an endpoint list.
 #[derive(Default)]
-pub(crate) struct Server {
-    /// Its last entry in a list.
+pub(crate) struct ServerRecord {
+    /// Its latest entry in an endpoint list.
     pub(crate) endpoint: Endpoint,
-    /// Index of the uplink group that it is in.
+    /// Index of its uplink group.
     pub(crate) uplink_group: usize,
-    /// Streams that it runs at most.
+    /// Highest number of streams that it can run; infinite if its kind has no limit.
     pub(crate) stream_capacity: f64,
-    /// What is asked of its link.
+    /// Load of its link.
     pub(crate) link: LoadEstimate,
-    /// Rates of our own sessions there, kB a second.
+    /// Summed rate of our own sessions there, kB per second.
     pub(crate) own_rate_kb: f64,
     /// Our own sessions there.
     pub(crate) sessions: BTreeSet<RequestId>,
-    /// Slots of each region, lowest rung first.
+    /// Number of slots in each region, lowest rung first.
     pub(crate) region_slots: Vec<u32>,
-    /// When the regions were sized.
+    /// When the regions were last sized; `None` before the first time.
     pub(crate) regions_sized_at: Option<Time>,
     /// Whether its link was measured since a promotion was last considered here.
     pub(crate) measured_since_promotion: bool,
-    /// Its part of the recent requests.
+    /// Its share of the recent arrivals; decays like the total.
     pub(crate) arrivals: f64,
-    /// Short delivery that lasts.
+    /// The short delivery that currently lasts, if any.
     pub(crate) short_delivery: Option<ShortDelivery>,
     /// No set-up goes there before this time, after failures.
     pub(crate) ejected_until: Time,
-    /// Length of the last ejection, nanoseconds.
+    /// Length of the last ejection, nanoseconds; 0 if there was none.
     pub(crate) ejection_duration: u64,
     /// When it was last ejected.
     pub(crate) last_ejected_at: Time,
-    /// Successes that are still wanted after an ejection; until then it gets trials only.
+    /// Successful attempts that an ejected server still needs until it takes all requests again; 0 in normal operation.
+    /// Until then it gets one trial at a time, of idempotent classes only.
     pub(crate) trials_left: u32,
-    /// Whether a connection failed or broke since the server last started or served.
+    /// Whether a connection failed or broke since the server last started or completed a set-up.
     pub(crate) connection_failed: bool,
-    /// End of its slow start.
+    /// End of its slow start; in the past if it is not in slow start.
     pub(crate) slow_start_until: Time,
-    /// In slow start, no set-up goes there before this time ...
+    /// In slow start, no set-up goes there before this time.
     pub(crate) next_slow_start_attempt: Time,
-    /// ... nor in an admission slot that began before this one.
+    /// In slow start, no set-up goes there in an admission slot that began before this time.
     pub(crate) next_slot_start: Time,
-    /// Sessions there are not demoted before this time.
+    /// Sessions there are not demoted for an overload before this time.
     pub(crate) next_relief: Time,
 }
 
-impl Server {
+impl ServerRecord {
     /// Whether it is listed as ready and no connection to it failed.
     pub(crate) fn is_up(&self) -> bool {
         self.endpoint.lifecycle == Lifecycle::Ready && !self.connection_failed
@@ -59,7 +60,7 @@
         self.endpoint.lifecycle == Lifecycle::Removed
     }
 
-    /// It started again, and warms up until then.
+    /// Records a restart: begins a slow start and clears earlier failures.
     pub(crate) fn restarted(&mut self, now: Time, slow_start_until: Time) {
         self.slow_start_until = slow_start_until.max(self.slow_start_until);
         self.connection_failed = false;
@@ -67,20 +68,20 @@
         self.next_slot_start = now;
     }
 
-    /// A set-up goes there in the present admission slot; in slow start the next may follow after `pause`.
+    /// Uses the current admission slot for a set-up. In slow start, the next may follow after `pause` nanoseconds.
     pub(crate) fn use_slot(&mut self, now: Time, pause: u64) {
         self.next_slow_start_attempt = now.plus(pause);
         self.next_slot_start = now.plus(1);
     }
 
-    /// Takes a measurement of the link that is `age` nanoseconds old.
-    pub(crate) fn measure_link(&mut self, now: Time, fill: f64, age: u64) {
-        self.link.measure(now, fill, age);
+    /// Records a measurement of the link that is `age` nanoseconds old.
+    pub(crate) fn record_link_fill(&mut self, now: Time, fill: f64, age: u64) {
+        self.link.record_fill(now, fill, age);
         self.measured_since_promotion = true;
     }
 }
 
-/// A time of short delivery at a server.
+/// A period in which a server delivered less than the rate of its sessions.
 #[derive(Clone, Copy)]
 pub(crate) struct ShortDelivery {
     /// When it began.
--- a/crates/policy/src/state/session.rs
+++ b/crates/policy/src/state/session.rs
@@ -1,15 +1,15 @@
-//! Requests and sessions of one replica, and what may be done with them.
+//! Requests and sessions of one replica, and the values that decisions on them are made of.
 use crate::interface::{AttemptOutcome, LoadReport, RequestId, ServerId, SessionRequest, Time};
 
-/// Where a session stands.
+/// Progress of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum SessionState {
-    /// No attempt is out.
+    /// No attempt is in progress.
     #[default]
     Pending,
-    /// An attempt is out at this server.
+    /// An attempt at this server is in progress.
     Attempting(ServerId),
-    /// It is established at this server.
+    /// The session is established at this server.
     Established(ServerId),
 }
 
@@ -22,25 +22,26 @@
 
 /// A request without a final answer, or its session.
 #[derive(Default)]
-pub(crate) struct Session {
+pub(crate) struct SessionRecord {
     pub(crate) request: SessionRequest,
     pub(crate) rung: u8,
     pub(crate) state: SessionState,
-    /// Whether the viewer left.
+    /// Whether the viewer left before the session ended.
     pub(crate) client_left: bool,
+    /// `None` as long as no attempt can have been executed.
     pub(crate) possible_execution: Option<PossibleExecution>,
     /// When it was established; until then, when it was requested.
     pub(crate) started_at: Time,
-    /// When its rung was last set, at first by the attempt that is out.
+    /// When its rung was last set; while an attempt is in progress, when that was sent.
     pub(crate) rung_set_at: Time,
     /// It is not promoted before this time.
     pub(crate) next_promotion: Time,
-    /// Servers of its attempts so far.
+    /// Servers of its attempts so far, in order.
     pub(crate) attempted: Vec<ServerId>,
 }
 
-impl Session {
-    /// The server of its attempt or of the established session.
+impl SessionRecord {
+    /// The server of the attempt in progress or of the established session.
     pub(crate) fn server(&self) -> Option<ServerId> {
         match self.state {
             SessionState::Pending => None,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// An attempt is sent to a server, at this rung.
+    /// Records that an attempt is sent to a server, at this rung.
     pub(crate) fn begin_attempt(&mut self, now: Time, server: ServerId, rung: u8) {
         self.state = SessionState::Attempting(server);
         self.rung = rung;
@@ -56,7 +57,7 @@
         self.attempted.push(server);
     }
 
-    /// The attempt that is out has succeeded.
+    /// Records the success of the attempt in progress.
     pub(crate) fn establish(&mut self, now: Time) {
         if let SessionState::Attempting(server) = self.state {
             self.state = SessionState::Established(server);
@@ -64,7 +65,7 @@
         self.started_at = now;
     }
 
-    /// The attempt, or the established session, has ended like this.
+    /// Records the end of the attempt in progress or of the established session.
     pub(crate) fn end_attempt(&mut self, server: ServerId, outcome: AttemptOutcome) {
         if self.possible_execution.is_none() && outcome.may_have_executed() {
             self.possible_execution = Some(PossibleExecution { server, sent_at: self.rung_set_at });
@@ -83,7 +84,7 @@
     }
 }
 
-/// Class and best rung of a request: what its rate depends on.
+/// Class and highest rung of a request, on which its rate depends.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestKind {
     pub(crate) class: u8,
@@ -100,20 +101,21 @@
     pub(crate) report: LoadReport,
 }
 
-/// What a server offers to a request.
+/// What a server can offer to a request.
 pub(crate) struct Offer {
     pub(crate) server: ServerId,
     pub(crate) rung: u8,
-    /// Fill of the server, with what it costs to cross zones.
+    /// Fill of the server plus the price of crossing zones; lower is better.
     pub(crate) cost: f64,
 }
 
 /// A possible demotion of a session by one rung.
 pub(crate) struct Demotion {
     pub(crate) request: RequestId,
-    /// The rung after it.
+    /// The rung after the demotion.
     pub(crate) rung: u8,
+    /// Reduction of the rate, kB per second.
     pub(crate) saved_kb: f64,
-    /// Utility that is lost for each kB saved.
+    /// Utility lost for each kB saved.
     pub(crate) cost: f64,
 }
--- a/crates/policy/src/state/time.rs
+++ b/crates/policy/src/state/time.rs
@@ -1,12 +1,12 @@
-//! Arithmetic on points in time in nanoseconds, the unit of the settings. Neither end of the range overflows.
+//! Saturating arithmetic on points in time, in nanoseconds, the unit of the settings.
 use crate::interface::Time;
 
-/// A second in nanoseconds.
+/// Nanoseconds per second.
 pub(crate) const SECOND: u64 = 1_000_000_000;
 
-/// Distances between points in time.
-pub(crate) trait Nanoseconds {
-    /// The point `duration` nanoseconds later.
+/// Saturating sums and differences of points in time.
+pub(crate) trait TimeArithmetic {
+    /// The point in time `duration` nanoseconds later.
     fn plus(self, duration: u64) -> Time;
 
     /// Nanoseconds since `earlier`; 0 if it is not earlier.
@@ -16,7 +16,7 @@
     fn seconds_since(self, earlier: Time) -> f64;
 }
 
-impl Nanoseconds for Time {
+impl TimeArithmetic for Time {
     fn plus(self, duration: u64) -> Time {
         Time(self.0.saturating_add(duration))
     }
