--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet, and a driver that sends events to a policy.
+//! Settings of a small fleet, and a driver that sends events to a policy under a simulated clock.
 #![allow(dead_code)]
 use crankpaddle::*;
 
@@ -9,15 +9,15 @@
 pub(crate) const ZONE_IDEMPOTENT: u8 = 2;
 
 pub(crate) fn settings() -> Settings {
-    let class = |effect, floor, top, rate_factor, seats| Class {
+    let class = |idempotency, min_rung, max_rung, rate_factor, max_sessions_per_title| Class {
         latency_objective: 800 * MS,
-        idempotency: effect,
+        idempotency,
         retry_window: 2 * SECOND,
         priority_weight: 1.0,
-        min_rung: floor,
-        max_rung: top,
+        min_rung,
+        max_rung,
         rate_factor,
-        max_sessions_per_title: seats,
+        max_sessions_per_title,
         live: false,
     };
     Settings {
@@ -64,20 +64,20 @@
     }
 }
 
-pub(crate) fn endpoint(id: u32, phase: Lifecycle, since: Time) -> Endpoint {
+pub(crate) fn endpoint(id: u32, lifecycle: Lifecycle, started_at: Time) -> Endpoint {
     let cell = id as u16 - 1;
     Endpoint {
         server: ServerId(id),
         zone: (cell % 2) as u8,
         kind: 0,
         cell,
-        lifecycle: phase,
+        lifecycle,
         weight: 1.0,
-        started_at: since,
+        started_at,
     }
 }
 
-/// Six servers with ids 1 to 6 in cells 0 to 5.
+/// Six ready servers with ids 1 to 6, in cells 0 to 5 and alternately in zones 0 and 1.
 pub(crate) fn fleet() -> Vec<Endpoint> {
     (1..=6).map(|id| endpoint(id, Lifecycle::Ready, Time(0))).collect()
 }
@@ -96,6 +96,7 @@
     }
 }
 
+/// A policy under test and its simulated clock.
 pub(crate) struct Driver {
     pub policy: PlacementPolicy,
     pub now: Time,
@@ -110,13 +111,13 @@
     }
 
     pub(crate) fn send(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.policy.handle(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.policy.handle(self.now, event, &mut actions);
+        actions
     }
 
-    pub(crate) fn advance(&mut self, time: u64) {
-        self.now = Time(self.now.0 + time);
+    pub(crate) fn advance(&mut self, duration: u64) {
+        self.now = Time(self.now.0 + duration);
     }
 
     pub(crate) fn request(&mut self, request: u64, class: u8) -> Vec<Action> {
@@ -128,7 +129,7 @@
         request: u64,
         server: ServerId,
         outcome: AttemptOutcome,
-        closed: bool,
+        is_final: bool,
     ) -> Vec<Action> {
         let request = RequestId(request);
         self.send(Event::AttemptEnded {
@@ -136,7 +137,7 @@
             attempt: 0,
             server,
             outcome,
-            is_final: closed,
+            is_final,
             report: LoadReport::new(),
         })
     }
@@ -156,23 +157,23 @@
 }
 
 pub(crate) fn attempted_server(actions: &[Action]) -> Option<ServerId> {
-    actions.iter().find_map(|a| match a {
+    actions.iter().find_map(|action| match action {
         Action::StartAttempt { server, .. } => Some(*server),
         _ => None,
     })
 }
 
 pub(crate) fn set_rung(actions: &[Action]) -> Option<u8> {
-    actions.iter().find_map(|a| match a {
+    actions.iter().find_map(|action| match action {
         Action::SetRung { rung, .. } => Some(*rung),
         _ => None,
     })
 }
 
 pub(crate) fn is_rejected(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
 pub(crate) fn is_failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail(_)))
+    actions.iter().any(|action| matches!(action, Action::Fail(_)))
 }
--- a/crates/policy/tests/random_sequences.rs
+++ b/crates/policy/tests/random_sequences.rs
@@ -1,4 +1,4 @@
-//! All invariants together, over long random sequences of events, against a model of what may be done.
+//! Checks all invariants over long random sequences of events, against a model of the allowed actions.
 mod common;
 use common::*;
 use crankpaddle::*;
@@ -6,17 +6,17 @@
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
-/// One step of a sequence. Indices choose among the attempts and sessions that are out.
+/// One step of a sequence. Indices select among the attempts in progress and the established sessions.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Milliseconds pass.
+    /// Lets so many milliseconds pass.
     Wait(u64),
-    /// A request of a class, with its highest rung.
+    /// Sends a request of a class, with its highest rung.
     Request {
         class: u8,
         max_rung: u8,
     },
-    /// A request that is sent a second time.
+    /// Sends a request a second time.
     Duplicate,
     Establish(usize),
     End {
@@ -35,7 +35,7 @@
     },
     FullList,
     FailedList,
-    /// Events about unknown requests and servers.
+    /// Sends events about an unknown request and an unknown server.
     Unknown(u64),
     Tick,
 }
@@ -76,26 +76,26 @@
     attempts: u32,
 }
 
-/// What the last list states of a server.
+/// What the latest endpoint list states of a server.
 #[derive(Clone, Copy)]
 struct Listed {
     lifecycle: Lifecycle,
     started_at: u64,
 }
 
-/// What is known from the events and actions so far, and the policy under test.
+/// The policy under test, and what follows from the events and actions so far.
 struct Model {
     settings: Settings,
     driver: Driver,
     open: BTreeMap<u64, OpenRequest>,
-    /// Servers of attempts that are out and of sessions that are established.
-    out: BTreeMap<u64, ServerId>,
+    /// Servers of the attempts in progress and of the established sessions.
+    active: BTreeMap<u64, ServerId>,
     rungs: BTreeMap<u64, u8>,
     servers: BTreeMap<u32, Listed>,
     request_times: Vec<u64>,
     retry_times: Vec<u64>,
     slow_start_setups: BTreeMap<u32, Vec<u64>>,
-    /// Class and title of the attempts and sessions that are out.
+    /// Class and title of the attempts in progress and of the established sessions.
     titles: BTreeMap<u64, (u8, u64)>,
     last_request: u64,
 }
@@ -108,7 +108,7 @@
             driver: Driver::new(settings.clone()),
             settings,
             open: BTreeMap::new(),
-            out: BTreeMap::new(),
+            active: BTreeMap::new(),
             rungs: BTreeMap::new(),
             servers: fleet().iter().map(|endpoint| (endpoint.server.0, listed(endpoint))).collect(),
             request_times: Vec::new(),
@@ -121,12 +121,12 @@
         model
     }
 
-    /// Sessions that are established at the start count for the title limit and end like others.
+    /// Adopts sessions at the start: they count for the title limit and end like others.
     fn adopt_sessions(&mut self) {
         for id in 500..503 {
             let now = self.driver.now;
             let request = SessionRequest { title: 2, ..session_request(id, AT_MOST_ONCE, now) };
-            self.out.insert(id, ServerId(3));
+            self.active.insert(id, ServerId(3));
             self.titles.insert(id, (AT_MOST_ONCE, 2));
             let actions = self.driver.send(Event::SessionAdopted(request, ServerId(3)));
             self.check(&actions);
@@ -134,10 +134,10 @@
         }
     }
 
-    /// An attempt or session that is out.
+    /// Selects an attempt in progress or an established session.
     fn pick(&self, index: usize) -> Option<(u64, ServerId)> {
-        let count = self.out.len().max(1);
-        self.out.iter().nth(index % count).map(|(request, server)| (*request, *server))
+        let count = self.active.len().max(1);
+        self.active.iter().nth(index % count).map(|(request, server)| (*request, *server))
     }
 
     fn apply(&mut self, step: Step) -> Vec<Action> {
@@ -149,7 +149,7 @@
             Step::Request { class, max_rung } => self.request(class, max_rung),
             Step::Duplicate => {
                 self.request_times.push(self.driver.now.0);
-                let again = self.out.keys().next().copied();
+                let again = self.active.keys().next().copied();
                 again.map_or(vec![], |request| self.driver.request(request, IDEMPOTENT))
             }
             Step::Establish(index) => match self.pick(index) {
@@ -195,7 +195,7 @@
     fn end(&mut self, request: u64, server: ServerId, outcome: u8) -> Vec<Action> {
         let outcome = OUTCOMES[usize::from(outcome)];
         let is_final = !self.open.contains_key(&request) || outcome == AttemptOutcome::Completed;
-        self.out.remove(&request);
+        self.active.remove(&request);
         self.titles.remove(&request);
         let not_executed = matches!(
             outcome,
@@ -253,46 +253,46 @@
         actions
     }
 
-    /// Checks actions against what may be done, and keeps what follows from them.
+    /// Checks actions against the model, and updates the model by them.
     fn check(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::StartAttempt { request, server, .. } => self.check_attempt(request.0, *server),
                 Action::SetRung { request, rung } => self.check_rung(request.0, *rung),
                 Action::Reject { request, .. } => {
-                    let open = self.open.remove(&request.0).expect("a second answer");
-                    assert!(!self.out.contains_key(&request.0));
+                    let open = self.open.remove(&request.0).expect("a second final answer");
+                    assert!(!self.active.contains_key(&request.0));
                     assert!(
                         open.request.class == IDEMPOTENT || !open.may_have_executed,
-                        "rejected though it may have run"
+                        "rejected although an attempt may have been executed"
                     );
                 }
                 Action::Fail(request) => {
-                    self.open.remove(&request.0).expect("a second answer");
+                    self.open.remove(&request.0).expect("a second final answer");
                 }
                 Action::SetTimer { .. } | Action::Log(_) => {}
-                other => panic!("not allowed by the settings: {other:?}"),
+                other => panic!("action not allowed by the settings: {other:?}"),
             }
         }
         for request in self.open.keys() {
-            assert!(self.out.contains_key(request), "request {request} is neither answered nor tried");
+            assert!(self.active.contains_key(request), "request {request} is neither answered nor attempted");
         }
     }
 
     fn check_attempt(&mut self, id: u64, server: ServerId) {
         let open = self.open.get_mut(&id).expect("attempt for a closed request");
         let request = open.request.clone();
-        assert!(!self.out.contains_key(&id), "two attempts at once");
-        assert!(!(request.class == AT_MOST_ONCE && open.may_have_executed), "a paid set-up twice");
+        assert!(!self.active.contains_key(&id), "two attempts of a request at once");
+        assert!(!(request.class == AT_MOST_ONCE && open.may_have_executed), "a repeated at-most-once set-up");
         assert_eq!(self.servers[&server.0].lifecycle, Lifecycle::Ready);
-        assert!((server.0 - 1 + 6 - request.first_cell % 6) % 6 < request.cell_count, "not a holder");
+        assert!((server.0 - 1 + 6 - request.first_cell % 6) % 6 < request.cell_count, "title not held");
         assert!(self.rungs.get(&id).is_some_and(|rung| *rung <= request.max_rung));
         open.attempts += 1;
         assert!(open.attempts <= self.settings.max_attempts);
         if open.attempts > 1 {
             self.check_retry_budget();
         }
-        self.out.insert(id, server);
+        self.active.insert(id, server);
         self.check_title_limit(id, &request);
         self.check_slow_start(server);
     }
@@ -304,7 +304,7 @@
         let count = |times: &[u64]| times.iter().filter(|at| **at >= window_start).count() as f64;
         let by_ratio = self.settings.retry_budget_ratio * count(&self.request_times);
         let allowed = self.settings.retry_budget_min.unwrap() + by_ratio;
-        assert!(count(&self.retry_times) <= allowed, "beyond the allowance");
+        assert!(count(&self.retry_times) <= allowed, "more retries than the retry budget allows");
     }
 
     fn check_title_limit(&mut self, id: u64, request: &SessionRequest) {
@@ -312,7 +312,7 @@
         self.titles.insert(id, title);
         let limit = self.settings.classes[usize::from(request.class)].max_sessions_per_title as usize;
         let sessions = self.titles.values().filter(|other| **other == title).count();
-        assert!(limit == 0 || sessions <= limit, "seats");
+        assert!(limit == 0 || sessions <= limit, "more sessions of a title than allowed");
     }
 
     fn check_slow_start(&mut self, server: ServerId) {
@@ -329,7 +329,7 @@
             * settings.overload_window as f64;
         assert!(
             in_window <= (allowed / f64::from(settings.replica_count)).max(1.0),
-            "a cold server is pushed"
+            "too many set-ups at a server in slow start"
         );
     }
 
@@ -355,11 +355,11 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = ProptestConfig { cases: 150, failure_persistence: None, ..ProptestConfig::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let done = runner.run(&proptest::collection::vec(step(), 50..400), |steps| {
+    let result = runner.run(&proptest::collection::vec(step(), 50..400), |steps| {
         assert_invariants_hold(steps);
         Ok(())
     });
-    if let Err(error) = done {
+    if let Err(error) = result {
         panic!("{error}");
     }
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,7 +1,8 @@
-//! A server in slow start under many replicas: what all of them send it together, in any window of the rule.
+//! Set-ups that many replicas together send to a server in slow start, counted over every overload window.
 //!
-//! In virtual time, each replica with traffic of its own, some with many times the mean; a tenth of all attempts fail at once
-//! and are retried; replicas are notified of the start up to 1.5 s apart, and a third of them restarts during the slow start.
+//! The test runs in simulated time. The replicas have uneven traffic, some of them many times the mean. A tenth of all
+//! attempts fail at once and are retried. The replicas learn of the server's start at different times, up to 1.5 s after
+//! it, and a third of them restart during the slow start.
 //! `RAMP_SEEDS=200 cargo test --release --test slow_start -- --nocapture` prints the figures of `docs/design.md`.
 mod common;
 use common::*;
@@ -9,18 +10,24 @@
 use std::collections::VecDeque;
 
 const SERVER: u32 = 7;
+/// Start of the simulation.
 const BEGIN: u64 = 1000 * SECOND;
 /// When the server starts.
 const SERVER_START: u64 = BEGIN + SECOND;
-/// Of the whole fleet; a third of them may go to this server.
+/// Requests to the whole fleet; a third of them may go to this server.
 const REQUESTS_PER_SECOND: f64 = 150.0;
 
-/// What the settings allow in one span (N), the sum that the rule leaves to chance, and the most sent.
+/// Results of the simulations with all seeds.
 struct Measured {
+    /// Number of set-ups that the settings allow in one overload window (N).
     allowed: f64,
+    /// Work in one window that overloads the server: N plus an allowance for the varying work of the set-ups.
     overloads_at: f64,
-    most: usize,
-    most_work: f64,
+    /// Highest number of set-ups in a window.
+    max_setups: usize,
+    /// Highest sum of work in a window.
+    max_work: f64,
+    /// Mean number of set-ups in a window.
     mean: f64,
 }
 
@@ -31,11 +38,11 @@
         self.0.rand_float().max(1e-12)
     }
 
-    fn below(&mut self, n: u64) -> u64 {
-        self.0.rand_range(0..n)
+    fn below(&mut self, limit: u64) -> u64 {
+        self.0.rand_range(0..limit)
     }
 
-    /// Work of a request, its mean 1 and its spread 0.5 of that (lognormal).
+    /// Work of a request: lognormal, with mean 1 and standard deviation 0.5.
     fn work(&mut self) -> f64 {
         let sigma = (1.0f64 + 0.25).ln().sqrt();
         let normal = (-2.0 * self.unit().ln()).sqrt() * (std::f64::consts::TAU * self.unit()).cos();
@@ -62,9 +69,10 @@
     server: ServerId,
 }
 
-/// One replica, when it is notified of the server's start and when it restarts.
+/// One replica, with the times at which it learns of the server's start and at which it restarts.
 struct Replica {
     driver: Driver,
+    /// Share of the traffic, relative to other replicas.
     weight: f64,
     notified_at: u64,
     restarts_at: Option<u64>,
@@ -74,11 +82,11 @@
 }
 
 impl Replica {
-    /// Brings it up to the present: ends sessions that are over, notifies it of the start, and ticks.
+    /// Advances the replica to `now`: ends sessions that are over, notifies it of the server's start, and sends ticks.
     fn catch_up(&mut self, now: u64) {
         let driver = &mut self.driver;
         while self.ends.front().is_some_and(|end| end.at <= now) {
-            let end = self.ends.pop_front().expect("just seen");
+            let end = self.ends.pop_front().expect("the queue is not empty");
             driver.now = Time(end.at).max(driver.now);
             driver.end_attempt(end.request, end.server, AttemptOutcome::Completed, true);
         }
@@ -93,11 +101,11 @@
         }
     }
 
-    /// Makes a request, with retries; a tenth of all attempts fail. Returns the set-ups to the server in slow start.
+    /// Sends a request, with retries, as a tenth of all attempts fail. Returns the set-ups to the server in slow start.
     fn request(&mut self, now: u64, request: u64, random: &mut Random) -> Vec<SentSetup> {
         let mut sent = Vec::new();
-        let mut out = self.driver.request(request, IDEMPOTENT);
-        while let Some(server) = attempted_server(&out) {
+        let mut actions = self.driver.request(request, IDEMPOTENT);
+        while let Some(server) = attempted_server(&actions) {
             if server == ServerId(SERVER) {
                 sent.push(SentSetup { at: now, work: random.work() });
             }
@@ -106,7 +114,7 @@
                 self.ends.push_back(SessionEnd { at: now + 2 * SECOND, request, server });
                 break;
             }
-            out = self.driver.end_attempt(request, server, AttemptOutcome::Rejected, false);
+            actions = self.driver.end_attempt(request, server, AttemptOutcome::Rejected, false);
         }
         sent
     }
@@ -144,7 +152,7 @@
         Simulation { settings, seed, random, replicas, max_weight }
     }
 
-    /// A replica, drawn by its weight.
+    /// Draws a replica with a probability proportional to its weight.
     fn draw_replica(&mut self) -> usize {
         loop {
             let index = self.random.below(self.replicas.len() as u64) as usize;
@@ -154,7 +162,7 @@
         }
     }
 
-    /// Restarts a replica if that is due, from a list that may be older than the server's start.
+    /// Restarts a replica if that is due, with an endpoint list that may be older than the server's start.
     fn restart_if_due(&mut self, index: usize, now: u64) {
         let replica = &mut self.replicas[index];
         let due = |at: &u64| now >= *at && replica.driver.now.0 < *at;
@@ -176,7 +184,7 @@
             let index = self.draw_replica();
             self.restart_if_due(index, now);
             self.replicas[index].catch_up(now);
-            request += 6; // All of one title, held by cells 0 to 2.
+            request += 6; // All requests are for titles of cells 0 to 2.
             sent.extend(self.replicas[index].request(now, request, &mut self.random));
         }
     }
@@ -189,51 +197,51 @@
     driver
 }
 
-fn measure(n: u32, places: u32, seeds: u64) -> Measured {
-    let mut result = Measured { allowed: 0.0, overloads_at: 0.0, most: 0, most_work: 0.0, mean: 0.0 };
+fn measure(replicas: u32, streams: u32, seeds: u64) -> Measured {
+    let mut result = Measured { allowed: 0.0, overloads_at: 0.0, max_setups: 0, max_work: 0.0, mean: 0.0 };
     for seed in 0..seeds {
-        let s = Settings { replica_count: n, stream_capacity: vec![places], ..settings() };
-        let sent = Simulation::new(s.clone(), seed).run();
-        let pace =
-            f64::from(places) / s.slow_start_duration as f64 * s.slow_start_min_factor * s.overload_multiple;
-        result.allowed = pace * s.overload_window as f64;
+        let settings = Settings { replica_count: replicas, stream_capacity: vec![streams], ..settings() };
+        let sent = Simulation::new(settings.clone(), seed).run();
+        let duration = settings.slow_start_duration as f64;
+        let window = settings.overload_window;
+        let setups_per_nanosecond =
+            f64::from(streams) / duration * settings.slow_start_min_factor * settings.overload_multiple;
+        result.allowed = setups_per_nanosecond * window as f64;
         result.overloads_at = result.allowed + 2.0 * result.allowed.sqrt() + 2.0;
         for from in 0..sent.len() {
-            let span =
-                || sent[from..].iter().take_while(|setup| setup.at < sent[from].at + s.overload_window);
-            result.most = result.most.max(span().count());
-            result.most_work = result.most_work.max(span().map(|setup| setup.work).sum());
+            let in_window = || sent[from..].iter().take_while(|setup| setup.at < sent[from].at + window);
+            result.max_setups = result.max_setups.max(in_window().count());
+            result.max_work = result.max_work.max(in_window().map(|setup| setup.work).sum());
         }
-        result.mean +=
-            sent.len() as f64 / (s.slow_start_duration as f64 / s.overload_window as f64) / seeds as f64;
+        result.mean += sent.len() as f64 / (duration / window as f64) / seeds as f64;
     }
     result
 }
 
-fn assert_within_bound(n: u32) {
-    let seeds = std::env::var("RAMP_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(10);
-    for places in [25, 250] {
-        let r = measure(n, places, seeds);
+fn assert_within_bound(replicas: u32) {
+    let seeds = std::env::var("RAMP_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(10);
+    for streams in [25, 250] {
+        let measured = measure(replicas, streams, seeds);
         println!(
-            "{n} fronts, {places} places, {seeds} seeds: N {:.1}, falls over {:.1}; most {} set-ups, {:.1} of work; \
-             mean {:.2} a span, {:.0}% of N",
-            r.allowed,
-            r.overloads_at,
-            r.most,
-            r.most_work,
-            r.mean,
-            100.0 * r.mean / r.allowed
+            "{replicas} replicas, {streams} streams, {seeds} seeds: N {:.1}, overloaded at {:.1}; in a window at most {} \
+             set-ups, {:.1} of work; mean {:.2}, {:.0}% of N",
+            measured.allowed,
+            measured.overloads_at,
+            measured.max_setups,
+            measured.max_work,
+            measured.mean,
+            100.0 * measured.mean / measured.allowed
         );
-        assert!(r.mean > 0.0, "no front ever has a turn");
+        assert!(measured.mean > 0.0, "no replica ever uses an admission slot");
         assert!(
-            r.most as f64 <= r.allowed + 1.0,
-            "{n} fronts, {places} places: {} set-ups in a span",
-            r.most
+            measured.max_setups as f64 <= measured.allowed + 1.0,
+            "{replicas} replicas, {streams} streams: {} set-ups in a window",
+            measured.max_setups
         );
         assert!(
-            r.most_work < r.overloads_at,
-            "{n} fronts, {places} places: {} of work in a span",
-            r.most_work
+            measured.max_work < measured.overloads_at,
+            "{replicas} replicas, {streams} streams: {} of work in a window",
+            measured.max_work
         );
     }
 }
