--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,7 +1,12 @@
-//! The settings as JSON: the names of the users' page, mapped to the program's. The types keep the page's names too,
-//! as serde puts them into its error messages (`expected struct Rules with 8 elements`).
+//! The JSON document of the settings, with its key names mapped to those of the policy. The types are named as in the
+//! documentation of the format, because serde puts their names into error messages
+//! (`expected struct Rules with 8 elements`).
+//!
+//! Durations are in nanoseconds and rates in kB per second. The fields are documented at
+//! [`Settings`](crankpaddle::Settings), [`Class`](crankpaddle::Class) and [`Fleet`](super::Fleet).
 use serde::Deserialize;
 
+/// The whole document.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Facts {
@@ -33,6 +38,7 @@
     pub(crate) discovery: String,
 }
 
+/// A class of sessions, apart from its rungs and rates, which are in [`Family`].
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Service {
@@ -52,14 +58,19 @@
     pub(crate) priority_weight: f64,
 }
 
+/// Whether an attempt of a class may be repeated.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Semantics {
+    /// At any time.
     Free,
+    /// Within the retry scope and window of the class.
     Guarded,
+    /// Only if no earlier attempt can have been executed.
     SingleShot,
 }
 
+/// The servers at which an attempt of a [`Semantics::Guarded`] class may be repeated.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Scope {
@@ -71,6 +82,8 @@
     Cell,
 }
 
+/// The ladder of rungs, the servers and the links. Lists by class are in the order of [`Facts::classes`], lists by rung
+/// begin with the lowest.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Family {
@@ -111,11 +124,12 @@
     pub(crate) uplink_kb: f64,
 }
 
+/// What a replica may do, and its limits.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "independent permissions of the page"
+    reason = "independent permissions of the format"
 )]
 pub(crate) struct Limits {
     #[serde(rename = "attempts-cap")]
@@ -134,6 +148,7 @@
     pub(crate) health_checks_allowed: bool,
 }
 
+/// The rules for discovery, retries and slow start.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Rules {
@@ -155,12 +170,15 @@
     pub(crate) overload_window: u64,
 }
 
+/// The content of load reports.
 #[derive(Deserialize, Default)]
 pub(crate) struct Telemetry {
+    /// Names of the fields of a load report, in the order in which the simulator sends their values.
     #[serde(default)]
     pub(crate) fields: Vec<String>,
 }
 
+/// Costs of decisions, as fractions of the result.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub(crate) struct Prices {
@@ -169,6 +187,7 @@
     pub(crate) migration: f64,
 }
 
+/// A tenant.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Party {
@@ -178,12 +197,12 @@
     pub(crate) quota_per_second: f64,
 }
 
-/// Default of a factor.
+/// Default of factors that have no effect unless they are set.
 fn one() -> f64 {
     1.0
 }
 
-/// Default of the connect timeout, nanoseconds.
+/// Default of the timeout of a connection attempt, nanoseconds.
 fn quarter_second() -> u64 {
     250_000_000
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,26 +1,26 @@
-//! Errors of the settings.
+//! Errors in the settings.
 use thiserror::Error;
 
-/// The settings cannot be used.
+/// The reason why settings cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// They are no JSON, or lack a field.
+    /// The text is not valid JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A list of the ladder has fewer entries than there are classes.
+    /// A list with an entry for each class has fewer entries than there are classes.
     #[error("family-info.{field} has {entries} entries for {classes} classes")]
     MissingEntries {
-        /// Name of the list.
+        /// Key of the list in the JSON document.
         field: &'static str,
-        /// Number of its entries.
+        /// Number of entries in the list.
         entries: usize,
         /// Number of classes.
         classes: usize,
     },
-    /// The rungs have no rates, or not as many rates as utilities.
+    /// There are no rungs, or the numbers of their rates and utilities differ.
     #[error("family-info.level-kb and rung-worth must name the same rungs")]
     RungsDiffer,
-    /// A number that must not be 0 is 0, or there are no classes.
+    /// The number of cells, racks or replicas is 0, or there are no classes.
     #[error("cells, cabinets, siblings and services must not be empty")]
     Empty,
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings that a replica is given at its start, from JSON to the policy's terms. The simulator's adapter and the
-//! front node read them with the same code, so that both decide on the same figures.
+//! Reads the settings of a replica from JSON. The simulator adapter and the front node share this code, so that both
+//! decide by the same values.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod document;
@@ -9,34 +9,36 @@
 use crankpaddle::{Class, Idempotency, LoadField, RetryScope, Settings};
 use document::{Facts, Family, Limits, Scope, Semantics, Service};
 
-/// The policy's settings, and the names that stand for its numbers outside of it.
+/// The settings of the policy, with the names of the classes, tenants, zones and kinds of servers that it knows only by
+/// index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The policy's settings.
+    /// Settings of the policy.
     pub settings: Settings,
-    /// Figures of a load report, in the order in which the simulator sends them, with their names.
+    /// Names and meanings of the fields of a load report, in the order in which the simulator sends their values.
     pub fields: Vec<(String, LoadField)>,
-    /// Names of the classes.
+    /// Names of the classes, in the order of their numbers.
     pub classes: Vec<String>,
-    /// Timeout of a request of each class, nanoseconds.
+    /// Timeout of a request of each class, nanoseconds; 0 if the document states none.
     pub deadlines: Vec<u64>,
-    /// Names of the tenants.
+    /// Names of the tenants, in the order of their numbers.
     pub tenants: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones, in the order of their numbers; empty if the document states none.
     pub zones: Vec<String>,
-    /// Names of the kinds of servers.
+    /// Names of the kinds of servers, in the order of their numbers; empty if the document states none.
     pub kinds: Vec<String>,
     /// Timeout of a connection attempt, nanoseconds.
     pub connect_timeout: u64,
 }
 
-/// Reads the settings.
+/// Parses the JSON document of the settings. Unknown keys are ignored.
 ///
 /// # Errors
-/// They are no JSON, lack what the policy needs, or contradict themselves.
+/// Fails if the text is not valid JSON, if something that the policy needs is missing, or if values contradict each
+/// other.
 pub fn parse(text: &[u8]) -> Result<Fleet, SettingsError> {
     let document: Facts = serde_json::from_slice(text)?;
-    check(&document)?;
+    validate(&document)?;
     Ok(Fleet {
         fields: report_fields(&document.telemetry.fields),
         classes: document
@@ -57,11 +59,12 @@
         zones: document.zones.clone(),
         kinds: document.kinds.clone(),
         connect_timeout: document.limits.connect_timeout,
-        settings: settings(document),
+        settings: policy_settings(document),
     })
 }
 
-fn check(document: &Facts) -> Result<(), SettingsError> {
+/// Checks what the types of the document cannot express: lengths of lists and numbers that must not be 0.
+fn validate(document: &Facts) -> Result<(), SettingsError> {
     let fleet = &document.fleet;
     let classes = document.classes.len();
     for (field, entries) in [
@@ -86,6 +89,7 @@
     Ok(())
 }
 
+/// Maps the field names of load reports to the fields that the policy knows.
 fn report_fields(names: &[String]) -> Vec<(String, LoadField)> {
     let field = |name: &str| match name {
         "active" => LoadField::Streams,
@@ -100,7 +104,7 @@
         .collect()
 }
 
-/// The classes of sessions; [`check`] has made sure that each has its entries in the lists of the ladder.
+/// Builds the classes of sessions. [`validate`] has made sure that the lists in `fleet` have an entry for each of them.
 fn classes(fleet: &Family, services: &[Service]) -> Vec<Class> {
     let services = services.iter().enumerate();
     services
@@ -136,7 +140,7 @@
     }
 }
 
-/// Longest Retry-After that clients follow; 0 if they follow none.
+/// Longest Retry-After that clients respect, nanoseconds; 0 if they respect none.
 fn max_retry_after(limits: &Limits) -> u64 {
     if limits.retry_after_followed {
         limits.max_retry_after
@@ -145,7 +149,7 @@
     }
 }
 
-fn settings(document: Facts) -> Settings {
+fn policy_settings(document: Facts) -> Settings {
     let (fleet, limits, rules) = (document.fleet, document.limits, document.rules);
     let classes = classes(&fleet, &document.classes);
     let tenants = document.tenants.iter();
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of the decision module that the bench has started, and what it sends to them.
+//! The instances of the decision module that the simulator has started, and the handling of its records.
 use crankpaddle::{Action, Endpoint, EndpointListKind, Event, LoadField, PlacementPolicy, Time};
 use crankpaddle_settings::SettingsError;
 use crankpaddle_simhost::wire::{self, Record, Reply};
@@ -6,37 +6,39 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use thiserror::Error;
 
-/// A record could not be carried out.
+/// The reason why a record could not be handled.
 #[derive(Debug, Error)]
 pub(crate) enum HostError {
-    /// An instance's settings are no settings.
+    /// The settings of an instance cannot be used.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// A record refers to a list of servers that no record sent.
-    #[error("list {0} was never sent")]
+    /// A record refers to an endpoint list that was not sent before.
+    #[error("endpoint list {0} was never sent")]
     UnknownList(u8),
-    /// A record is for an instance that no record started.
+    /// A record is for an instance that is not running.
     #[error("instance {0} was never started")]
     UnknownInstance(u32),
 }
 
+/// A policy that runs for the simulator.
 struct Instance {
     policy: PlacementPolicy,
-    /// Figures of a load report, in the order in which the bench sends them.
+    /// Fields of a load report, in the order in which the simulator sends their values.
     report_fields: Vec<LoadField>,
 }
 
-/// All instances, and the reply that is being put together.
+/// All instances, and the reply to the current batch.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u32, Instance>,
+    /// Endpoint lists by their number.
     lists: BTreeMap<u8, Vec<Endpoint>>,
     actions: Vec<Action>,
     pub(crate) reply: Reply,
 }
 
 impl Host {
-    /// Carries out a record and adds to the reply what follows from it.
+    /// Handles a record and adds the resulting actions to the reply.
     pub(crate) fn handle_record(&mut self, now: Time, record: Record) -> Result<(), HostError> {
         match record {
             Record::Spawn {
@@ -91,6 +93,7 @@
         Ok(())
     }
 
+    /// The entries of an endpoint list; none if the list stands for a failed discovery request.
     fn entries(&self, kind: EndpointListKind, list: u8) -> Result<Vec<Endpoint>, HostError> {
         if kind == EndpointListKind::Failed {
             return Ok(Vec::new());
@@ -99,6 +102,7 @@
         Ok(entries.clone())
     }
 
+    /// Passes an event to an instance. A panic of the policy is reported in the reply and does not end the adapter.
     fn handle_event(
         &mut self,
         id: u32,
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,4 +1,4 @@
-//! The bench's wire, as far as tests need it beside the adapter.
+//! The wire format of the simulator, shared by the adapter and by tests.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 pub mod wire;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts instances of [`PlacementPolicy`](crankpaddle::PlacementPolicy) on the bench's wire. An adapter only: every
-//! decision is the library's.
+//! Adapter that hosts instances of [`PlacementPolicy`](crankpaddle::PlacementPolicy) for the simulator, over standard
+//! input and output. It decides nothing itself.
 mod host;
 use crankpaddle_simhost::wire::{Batch, WireError};
 use host::{Host, HostError};
@@ -7,16 +7,16 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Size of the input's and the output's buffer, bytes.
+/// Size of the input buffer and of the output buffer, bytes.
 const BUFFER_BYTES: usize = 1 << 16;
 
-/// Why the adapter ends with a failure.
+/// The reason why the adapter exits with a failure.
 #[derive(Debug, Error)]
 enum AdapterError {
-    /// The input is not what the bench sends.
+    /// The input cannot be read or is not a valid sequence of batches.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// A record could not be carried out.
+    /// A record could not be handled.
     #[error("batch {batch}, record {index}: {source}")]
     Record {
         batch: u32,
@@ -28,6 +28,7 @@
     Write(#[source] io::Error),
 }
 
+/// Handles batches and sends a reply to each, until the input ends.
 fn run() -> Result<(), AdapterError> {
     let mut input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
     let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
--- a/crates/simhost/src/wire/decode.rs
+++ b/crates/simhost/src/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes the records of a batch.
+//! Decoding of the records of a batch.
 use super::error::RecordError;
 use super::fields::Fields;
 use super::{Record, ENTRY_BYTES};
@@ -7,7 +7,7 @@
     SessionRequest, SessionUpdate, Time,
 };
 
-/// Codes of the records, as the bench numbers them.
+/// Codes of the records that the simulator sends.
 mod code {
     pub(super) const REQUESTED: u8 = 10;
     pub(super) const DIRECTORY: u8 = 20;
@@ -24,12 +24,12 @@
     pub(super) const TOPOLOGY: u8 = 130;
 }
 
-/// Flags of a request.
+/// Flag bits of a request.
 const HAS_DURATION_HINT: u16 = 1;
 const IS_MIGRATION: u16 = 8;
 const IS_RETRY: u16 = 16;
 
-/// Decodes a record; `tail` are the bytes after the batch's records, which some refer to.
+/// Decodes a record. `tail` is the part of the batch after its records, to which some records refer.
 pub(super) fn decode<'a>(record: Fields<'a>, tail: &'a [u8]) -> Result<Record<'a>, RecordError> {
     let instance = record.u32(1);
     let event = match record.u8(0) {
--- a/crates/simhost/src/wire/error.rs
+++ b/crates/simhost/src/wire/error.rs
@@ -1,115 +1,115 @@
-//! Errors of the bench's wire.
+//! Errors in the input from the simulator.
 use std::io;
 use thiserror::Error;
 
-/// The input is not a sequence of batches.
+/// The reason why a batch could not be read.
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The input ended within a header.
     #[error("input ends after {received} of {expected} bytes of the {part}")]
     Truncated {
-        /// What was being read.
+        /// Name of the part that was being read.
         part: &'static str,
-        /// Bytes that came.
+        /// Number of bytes received.
         received: usize,
-        /// Bytes that should have come.
+        /// Number of bytes expected.
         expected: usize,
     },
     /// The input could not be read.
     #[error("cannot read the {part}: {source}")]
     Read {
-        /// What was being read.
+        /// Name of the part that was being read.
         part: &'static str,
-        /// Why it failed.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A batch states a length that none has.
+    /// A batch states a length that cannot hold the number of records, or that exceeds the maximum.
     #[error("batch {batch}: a length of {length} bytes is out of range")]
     LengthOutOfRange {
-        /// The batch.
+        /// Number of the batch.
         batch: u32,
-        /// The length, bytes.
+        /// The stated length, bytes.
         length: usize,
     },
-    /// A batch states more records than its length holds.
+    /// A batch states more records than fit its length.
     #[error("batch {batch}: {records} records do not fit its length of {length} bytes")]
     RecordsDoNotFit {
-        /// The batch.
+        /// Number of the batch.
         batch: u32,
-        /// Number of records.
+        /// The stated number of records.
         records: usize,
-        /// The length, bytes.
+        /// The stated length, bytes.
         length: usize,
     },
-    /// A batch's records could not be read.
+    /// The records of a batch could not be read.
     #[error("batch {batch}: cannot read the records: {source}")]
     ReadRecords {
-        /// The batch.
+        /// Number of the batch.
         batch: u32,
-        /// Why it failed.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The input ended within a batch's records.
+    /// The input ended within the records of a batch.
     #[error("batch {batch}: input ends after {received} of {expected} bytes")]
     RecordsTruncated {
-        /// The batch.
+        /// Number of the batch.
         batch: u32,
-        /// Bytes that came.
+        /// Number of bytes received.
         received: usize,
-        /// Bytes that should have come.
+        /// Number of bytes expected.
         expected: usize,
     },
     /// A record could not be decoded.
     #[error("batch {batch}, record {index} (code {code}): {source}")]
     Record {
-        /// The batch.
+        /// Number of the batch.
         batch: u32,
-        /// The record's place in it, from 0.
+        /// Index of the record in the batch, counted from 0.
         index: usize,
-        /// The record's code.
+        /// Code of the record.
         code: u8,
-        /// Why it failed.
+        /// The underlying error.
         source: RecordError,
     },
 }
 
-/// A record could not be decoded.
+/// The reason why a record could not be decoded.
 #[derive(Debug, Error)]
 pub enum RecordError {
-    /// No record has this code.
+    /// There is no record with this code.
     #[error("unknown event code {0}")]
     UnknownCode(u8),
-    /// No list of servers is of this kind.
-    #[error("unknown list kind {0}")]
+    /// There is no kind of endpoint list with this code.
+    #[error("unknown endpoint list kind {0}")]
     UnknownListKind(u8),
-    /// No session update is of this kind.
-    #[error("unknown note kind {0}")]
+    /// There is no kind of session update with this code.
+    #[error("unknown session update kind {0}")]
     UnknownUpdate(u8),
-    /// No attempt ends with this outcome.
+    /// There is no outcome with this code.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
-    /// No server of a list is in this phase.
-    #[error("list entry: unknown phase {0}")]
+    /// There is no lifecycle state with this code.
+    #[error("unknown lifecycle state {0} in an endpoint list")]
     UnknownLifecycle(u8),
     /// A load report has more values than a record holds.
-    #[error("a load report of {0} values")]
+    #[error("load report has {0} values, more than a record holds")]
     ReportTooLong(usize),
-    /// A record refers to bytes that its batch does not have.
+    /// A record refers to bytes outside the tail of its batch.
     #[error("offset {offset} with {count} items lies outside the tail of {tail} bytes")]
     OutsideTail {
-        /// Where the items should begin, bytes into the tail.
+        /// Offset of the items in the tail, bytes.
         offset: usize,
         /// Number of items.
         count: usize,
         /// Length of the tail, bytes.
         tail: usize,
     },
-    /// A number that stands for a count is none.
-    #[error("{value} at byte {offset} is not a small whole number")]
+    /// The value of a field for a count or rung is not in the range of such fields.
+    #[error("{value} at byte {offset} is not a count below 65536")]
     NotSmallInteger {
-        /// The number.
+        /// The value.
         value: f32,
-        /// Its place in the record, bytes.
+        /// Offset of the field in the record, bytes.
         offset: usize,
     },
 }
--- a/crates/simhost/src/wire/fields.rs
+++ b/crates/simhost/src/wire/fields.rs
@@ -1,9 +1,9 @@
-//! Little-endian fields of a record, by their place in it.
+//! Little-endian fields of a record, by their offset.
 use super::error::RecordError;
 use super::LOAD_REPORT_VALUES;
 
-/// Counts on the wire are floats below this.
-const SMALL_INTEGERS: f32 = 65536.0;
+/// Counts are sent as floats below this value.
+const SMALL_INTEGER_LIMIT: f32 = 65536.0;
 
 /// The bytes of a header, a record or a list entry.
 #[derive(Clone, Copy)]
@@ -31,22 +31,22 @@
         f32::from_bits(self.u32(offset))
     }
 
-    /// A count, which is sent as a float.
+    /// A count, which is sent as a float and rounded.
     pub(crate) fn small_integer(self, offset: usize) -> Result<u32, RecordError> {
         let value = self.f32(offset);
-        if value.is_finite() && (0.0..SMALL_INTEGERS).contains(&value) {
+        if value.is_finite() && (0.0..SMALL_INTEGER_LIMIT).contains(&value) {
             Ok(value.round() as u32)
         } else {
             Err(RecordError::NotSmallInteger { value, offset })
         }
     }
 
-    /// The number of a rung, which is sent as a float; 255 stands for all above.
+    /// The number of a rung, which is sent as a float; higher numbers become 255.
     pub(crate) fn rung(self, offset: usize) -> Result<u8, RecordError> {
         Ok(self.small_integer(offset)?.min(255) as u8)
     }
 
-    /// The values of a load report, after their number.
+    /// The values of a load report, preceded by their number.
     pub(crate) fn report_values(self, offset: usize) -> Result<Vec<f64>, RecordError> {
         let count = usize::from(self.u8(offset));
         if count > LOAD_REPORT_VALUES {
@@ -56,7 +56,8 @@
         Ok((0..count).map(value).collect())
     }
 
-    /// The part of the batch's tail that the field names: where it begins, and how many items of `item_bytes`.
+    /// The slice of the batch's tail that a field refers to by an offset in bytes and a number of items, each of
+    /// `item_bytes`.
     pub(crate) fn slice(
         self,
         tail: &'a [u8],
--- a/crates/simhost/src/wire/mod.rs
+++ b/crates/simhost/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The bench's wire: framed little-endian records. It decodes batches and encodes replies, and decides nothing.
+//! The wire format of the simulator: framed little-endian records. This module decodes batches and encodes replies.
 //!
-//! A batch has a header (number, clock, length, number of records), records of a fixed size, and a tail that records
-//! refer to. A reply is built alike.
+//! A batch has a header (number, clock, length, number of records), records of a fixed size, and a tail of variable
+//! length to which records refer. A reply has the same structure, without the clock.
 mod decode;
 mod error;
 mod fields;
@@ -13,84 +13,84 @@
 use fields::Fields;
 use std::io::{self, Read};
 
-/// Size of a batch's header.
+/// Size of the header of a batch, bytes.
 const HEADER_BYTES: usize = 20;
-/// Size of an event's record.
+/// Size of an event record, bytes.
 const EVENT_BYTES: usize = 72;
-/// Size of an action's record.
+/// Size of an action record, bytes.
 const ACTION_BYTES: usize = 32;
-/// Size of an entry of a list of servers.
+/// Size of an entry in an endpoint list, bytes.
 const ENTRY_BYTES: usize = 22;
-/// Values of a load report that a record holds.
+/// Highest number of load report values in a record.
 const LOAD_REPORT_VALUES: usize = 4;
-/// Longest batch; a length beyond this is a broken frame.
+/// Longest batch, bytes; a greater length indicates a corrupt frame.
 const MAX_BATCH_BYTES: usize = 1 << 30;
 
 /// A batch of events.
 pub struct Batch {
-    /// Its number.
+    /// Number of the batch, which its reply repeats.
     pub number: u32,
-    /// The clock.
+    /// Simulated time of all its events.
     pub now: Time,
     body: Vec<u8>,
     records: usize,
 }
 
-/// One record of a batch. The variants are called like the bench's records.
+/// One record of a batch. The variants have the names of the simulator's records.
 pub enum Record<'a> {
-    /// An instance starts.
+    /// Starts an instance of the policy.
     Spawn {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
-        /// Seed of its random numbers.
+        /// Seed of its random choices.
         seed: u64,
-        /// Its settings, JSON.
+        /// Its settings as a JSON document.
         settings: &'a [u8],
     },
-    /// An instance ends.
+    /// Ends an instance.
     Stop {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
     },
-    /// A list of servers, for the records that refer to it.
+    /// Defines an endpoint list, to which later records refer by its number.
     Directory {
-        /// Its number.
+        /// Number of the list.
         list: u8,
-        /// The servers.
+        /// The listed servers.
         entries: Vec<Endpoint>,
     },
-    /// An instance receives a list of servers.
+    /// Delivers an endpoint list to an instance.
     Topology {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
-        /// How it is to be read.
+        /// How the list is to be applied.
         kind: EndpointListKind,
-        /// The list's number.
+        /// Number of the list.
         list: u8,
     },
-    /// Any other event.
+    /// Delivers any other event.
     Front {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
-        /// The event.
+        /// The event to deliver.
         event: Event,
     },
-    /// An event with a load report, whose fields only the instance's settings name.
+    /// Delivers an event with a load report. The meaning of its values depends on the settings of the instance.
     Reported {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
-        /// The event, with an empty report.
+        /// The event, with an empty report; see [`name_report`].
         event: Event,
-        /// The report's figures.
+        /// Values of the report, in the order of the fields in the settings.
         values: Vec<f64>,
     },
 }
 
 impl Batch {
-    /// Reads the next batch; `None` at the end of input between batches.
+    /// Reads the next batch; `None` if the input ends before it.
     ///
     /// # Errors
-    /// The input cannot be read, ends within a batch, or is no batch.
+    /// Fails if the input cannot be read, ends within a batch, or has an invalid header.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
         let mut header = [0; HEADER_BYTES];
         if !fill(input, &mut header, "batch header")? {
@@ -118,12 +118,12 @@
         }))
     }
 
-    /// The number of records.
+    /// Number of records in the batch.
     pub fn len(&self) -> usize {
         self.records
     }
 
-    /// Whether it has none.
+    /// Whether the batch has no records.
     pub fn is_empty(&self) -> bool {
         self.records == 0
     }
@@ -131,10 +131,10 @@
     /// Decodes the record at `index`.
     ///
     /// # Errors
-    /// It is no record that the bench sends.
+    /// Fails if the record is not valid.
     ///
     /// # Panics
-    /// The batch has no such record.
+    /// Panics if the batch has no record with this index.
     pub fn record(&self, index: usize) -> Result<Record<'_>, WireError> {
         let start = index * EVENT_BYTES;
         let record = Fields(&self.body[start..start + EVENT_BYTES]);
@@ -148,7 +148,7 @@
     }
 }
 
-/// Fills `buffer`; `Ok(false)` at the end of input before its first byte.
+/// Fills `buffer`; `Ok(false)` if the input ends before the first byte.
 fn fill(input: &mut impl Read, buffer: &mut [u8], part: &'static str) -> Result<bool, WireError> {
     let mut received = 0;
     while received < buffer.len() {
@@ -169,8 +169,8 @@
     Ok(true)
 }
 
-/// Reads the records and the tail of a batch. Why it isn't read into a buffer of that length: it grows with what
-/// arrives, so that a wrong length cannot claim the memory at once.
+/// Reads the records and the tail of a batch. The buffer grows with the received data instead of being allocated in
+/// advance, so that a wrong length does not allocate memory for data that never arrives.
 fn read_body(input: &mut impl Read, batch: u32, expected: usize) -> Result<Vec<u8>, WireError> {
     let mut body = Vec::new();
     let received = input
@@ -187,7 +187,7 @@
     Ok(body)
 }
 
-/// Gives the values of a report the names of their fields.
+/// Fills the load report of an event: pairs its values with the fields that the settings of the instance list.
 pub fn name_report(event: &mut Event, values: &[f64], fields: &[LoadField]) {
     if let Event::AttemptEnded { report, .. } | Event::HealthCheckCompleted { report, .. } = event {
         *report = fields.iter().copied().zip(values.iter().copied()).collect();
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -1,9 +1,9 @@
-//! Encodes the reply to a batch: the actions of all instances.
+//! Encoding of the reply to a batch: the actions of all instances.
 use super::ACTION_BYTES;
 use crankpaddle::{Action, RequestId, ServerId};
 use std::io::{self, Write};
 
-/// Codes of the records, as the bench numbers them.
+/// Codes of the records that the simulator expects.
 mod code {
     pub(super) const FAILED_INSTANCE: u8 = 10;
     pub(super) const FETCH_ENDPOINTS: u8 = 20;
@@ -20,10 +20,10 @@
     pub(super) const SUBSCRIBE: u8 = 140;
 }
 
-/// As the receiver of a message: all other instances.
+/// Receiver of a message that goes to all other instances.
 const ALL_INSTANCES: u32 = u32::MAX;
 
-/// A reply that is being put together.
+/// Builds the reply to a batch.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -31,13 +31,13 @@
 }
 
 impl Reply {
-    /// Reports that the decision code of an instance failed.
+    /// Adds a report that the policy of an instance panicked.
     pub fn report_failure(&mut self, instance: u32, reason: &str) {
-        let place = self.append_to_tail(reason.as_bytes());
-        self.record(code::FAILED_INSTANCE, instance, &[&place]);
+        let location = self.append_to_tail(reason.as_bytes());
+        self.record(code::FAILED_INSTANCE, instance, &[&location]);
     }
 
-    /// Adds an instance's action.
+    /// Adds an action of an instance.
     pub fn push(&mut self, instance: u32, action: &Action) {
         match action {
             Action::StartAttempt {
@@ -74,21 +74,21 @@
             Action::SubscribeEndpoints => self.record(code::SUBSCRIBE, instance, &[&[1]]),
             Action::FetchEndpoints => self.record(code::FETCH_ENDPOINTS, instance, &[]),
             Action::Broadcast(bytes) => {
-                let place = self.append_to_tail(bytes);
+                let location = self.append_to_tail(bytes);
                 let receiver = ALL_INSTANCES.to_le_bytes();
-                self.record(code::SEND_MESSAGE, instance, &[&receiver, &place]);
+                self.record(code::SEND_MESSAGE, instance, &[&receiver, &location]);
             }
             Action::Log(line) => {
-                let place = self.append_to_tail(line.as_bytes());
-                self.record(code::LOG, instance, &[&place]);
+                let location = self.append_to_tail(line.as_bytes());
+                self.record(code::LOG, instance, &[&location]);
             }
         }
     }
 
-    /// Writes and flushes the reply to a batch, and empties itself.
+    /// Writes the reply to a batch, flushes the output and clears the reply for the next batch.
     ///
     /// # Errors
-    /// The output could not be written.
+    /// Fails if the output cannot be written.
     pub fn send(&mut self, batch: u32, output: &mut impl Write) -> io::Result<()> {
         let count = (self.records.len() / ACTION_BYTES) as u32;
         let length = (self.records.len() + self.tail.len() + 4) as u32;
@@ -122,10 +122,10 @@
         self.records.resize(end, 0);
     }
 
-    /// Adds bytes after the records; returns where they begin and how many they are, as a record refers to them.
+    /// Appends bytes to the tail; returns their offset and length in the encoding by which records refer to them.
     fn append_to_tail(&mut self, bytes: &[u8]) -> [u8; 8] {
-        let place = (self.tail.len() as u64) | (bytes.len() as u64) << 32;
+        let location = (self.tail.len() as u64) | (bytes.len() as u64) << 32;
         self.tail.extend_from_slice(bytes);
-        place.to_le_bytes()
+        location.to_le_bytes()
     }
 }
--- a/crates/simhost/tests/adapter.rs
+++ b/crates/simhost/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on the wire: frames, malformed input, and exits.
+//! Runs the adapter as a process: batches and replies, malformed input, and exit statuses.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -18,10 +18,15 @@
         .spawn()
         .expect("the adapter starts");
     // The adapter may exit before it has read everything.
-    let _ = child.stdin.take().expect("a pipe").write_all(input);
-    child.wait_with_output().expect("the adapter ends")
+    let _ = child
+        .stdin
+        .take()
+        .expect("standard input is a pipe")
+        .write_all(input);
+    child.wait_with_output().expect("the adapter exits")
 }
 
+/// Encodes a batch; the records are padded to their fixed size.
 fn batch(number: u32, now: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let mut frame = number.to_le_bytes().to_vec();
     frame.extend(now.to_le_bytes());
@@ -36,24 +41,28 @@
     frame
 }
 
+/// Encodes a record without its padding.
 fn record(code: u8, fields: &[&[u8]]) -> Vec<u8> {
     let mut record = vec![code];
-    fields.iter().for_each(|f| record.extend_from_slice(f));
+    fields
+        .iter()
+        .for_each(|field| record.extend_from_slice(field));
     record
 }
 
+/// A record that starts instance 3 with settings of `length` bytes at the beginning of the tail.
 fn spawn(length: usize) -> Vec<u8> {
-    let place = [0u32.to_le_bytes(), (length as u32).to_le_bytes()].concat();
-    record(80, &[&3u32.to_le_bytes(), &7u64.to_le_bytes(), &place])
+    let location = [0u32.to_le_bytes(), (length as u32).to_le_bytes()].concat();
+    record(80, &[&3u32.to_le_bytes(), &7u64.to_le_bytes(), &location])
 }
 
-fn assert_fails_with(input: &[u8], about: &str) {
+fn assert_fails_with(input: &[u8], expected: &str) {
     let out = run(input);
     let message = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(!out.status.success(), "exit 0; {message}");
+    assert!(!out.status.success(), "exited with success: {message}");
     assert!(
-        message.contains(about),
-        "{message:?} does not name {about:?}"
+        message.contains(expected),
+        "{message:?} does not contain {expected:?}"
     );
     assert!(!message.contains("panicked"), "{message}");
 }
@@ -68,7 +77,7 @@
 
 #[test]
 fn a_request_is_set_up_at_a_listed_server_of_its_cell() {
-    let who = 3u32.to_le_bytes();
+    let instance = 3u32.to_le_bytes();
     let settings = SETTINGS.as_bytes();
     let mut tail = settings.to_vec();
     let mut entry = 77u32.to_le_bytes().to_vec();
@@ -76,12 +85,12 @@
     entry.extend(1f32.to_le_bytes());
     entry.extend(0u64.to_le_bytes());
     tail.extend(entry);
-    let place = [(settings.len() as u32).to_le_bytes(), 1u32.to_le_bytes()].concat();
-    let directory = record(20, &[&[2], &place]);
-    let topology = record(130, &[&who, &[3], &1u64.to_le_bytes(), &[2]]);
+    let location = [(settings.len() as u32).to_le_bytes(), 1u32.to_le_bytes()].concat();
+    let directory = record(20, &[&[2], &location]);
+    let topology = record(130, &[&instance, &[3], &1u64.to_le_bytes(), &[2]]);
     let mut request = record(
         10,
-        &[&who, &9u64.to_le_bytes(), &1u64.to_le_bytes(), &[0, 0]],
+        &[&instance, &9u64.to_le_bytes(), &1u64.to_le_bytes(), &[0, 0]],
     );
     request.extend(4_000_000_000u64.to_le_bytes());
     request.extend(1f32.to_le_bytes());
@@ -98,7 +107,10 @@
         "{}",
         String::from_utf8_lossy(&out.stderr)
     );
-    let codes: Vec<u8> = out.stdout[12..].chunks(32).map(|r| r[0]).collect();
+    let codes: Vec<u8> = out.stdout[12..]
+        .chunks(32)
+        .map(|action| action[0])
+        .collect();
     assert_eq!(codes, [130, 50, 120]);
     assert_eq!(out.stdout[12 + 64 + 21..][..4], 77u32.to_le_bytes());
 }
@@ -106,8 +118,8 @@
 #[test]
 fn malformed_batches_are_named_in_the_error() {
     assert_fails_with(&[1, 0, 0], "batch header");
-    let whole = batch(4, 5, &[record(40, &[&3u32.to_le_bytes()])], &[]);
-    assert_fails_with(&whole[..whole.len() - 9], "batch 4: input ends");
+    let complete = batch(4, 5, &[record(40, &[&3u32.to_le_bytes()])], &[]);
+    assert_fails_with(&complete[..complete.len() - 9], "batch 4: input ends");
     assert_fails_with(
         &batch(1, 5, &[record(99, &[])], &[]),
         "unknown event code 99",
@@ -117,25 +129,25 @@
         "instance 3 was never started",
     );
     assert_fails_with(&batch(1, 5, &[spawn(400)], b"{}"), "outside the tail");
-    let mut long = batch(1, 5, &[], &[]);
-    long[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_fails_with(&long, "out of range");
-    let mut many = batch(1, 5, &[], &[]);
-    many[16..20].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert_fails_with(&many, "do not fit");
+    let mut oversized = batch(1, 5, &[], &[]);
+    oversized[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
+    assert_fails_with(&oversized, "out of range");
+    let mut too_many = batch(1, 5, &[], &[]);
+    too_many[16..20].copy_from_slice(&u32::MAX.to_le_bytes());
+    assert_fails_with(&too_many, "do not fit");
 }
 
 #[test]
 fn missing_or_contradictory_settings_are_named_in_the_error() {
     assert_fails_with(&batch(1, 5, &[spawn(5)], b"hello"), "settings");
-    let lacking = SETTINGS.replace("\"cold-share\":0.4,", "");
+    let incomplete = SETTINGS.replace("\"cold-share\":0.4,", "");
     assert_fails_with(
-        &batch(1, 5, &[spawn(lacking.len())], lacking.as_bytes()),
+        &batch(1, 5, &[spawn(incomplete.len())], incomplete.as_bytes()),
         "cold-share",
     );
-    let uneven = SETTINGS.replace("\"rung-worth\":[0.3,1.0]", "\"rung-worth\":[0.3]");
+    let mismatched = SETTINGS.replace("\"rung-worth\":[0.3,1.0]", "\"rung-worth\":[0.3]");
     assert_fails_with(
-        &batch(1, 5, &[spawn(uneven.len())], uneven.as_bytes()),
+        &batch(1, 5, &[spawn(mismatched.len())], mismatched.as_bytes()),
         "same rungs",
     );
 }
