--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -12,9 +12,9 @@
 pub(crate) const MAX_RECENT_REQUESTS: usize = 100; // Length of the sample of recent requests.
 const REGION_SLACK_SLOTS: f64 = 0.5; // Rates are estimates, so a region may be overfilled by half a slot.
 const TIMEOUT_SETUP_TIMES: f64 = 4.0; // Shortest attempt timeout, in mean set-up times.
-const QUOTA_RATE_FACTOR: f64 = 1.15; // A tenant's bucket drains at this multiple of its quota, ...
-const QUOTA_BURST_SECONDS: f64 = 3.0; // ... holds this many seconds of that rate, ...
-const QUOTA_BURST_REQUESTS: f64 = 4.0; // ... and this many more requests for random fluctuations.
+const QUOTA_RATE_FACTOR: f64 = 1.15; // A tenant's bucket drains at this multiple of its quota.
+const QUOTA_BURST_SECONDS: f64 = 3.0; // Size of the bucket, in seconds of that rate.
+const QUOTA_BURST_REQUESTS: f64 = 4.0; // Requests added to that size, for random fluctuations.
 
 impl PlacementPolicy {
     /// Handles a new request: starts an attempt or gives the final answer.
@@ -34,7 +34,7 @@
         self.attempt_or_answer(id, over_quota, actions);
     }
 
-    /// Highest rung that a server can offer; `current` is the session's rung if it already runs there.
+    /// Highest rung that a server offers, if any; `current` is the session's rung if it runs there already.
     pub(crate) fn top_rung(&self, request: &SessionRequest, id: ServerId, current: Option<u8>) -> Option<u8> {
         let server = self.servers.get(&id)?;
         let class = self.class(request.class)?;
@@ -61,14 +61,14 @@
             occupied_kb + rate_kb <= slots * self.settings.rung_kb[region] * self.fleet.rate_factor
         };
         let priced = self.priced_rung(RequestKind { class: request.class, max_rung });
-        // Estimates are rough: relief would undo promotions up to the full limit, at a cost for each change.
+        // Estimates are rough, and relief would undo promotions up to the full limit, each at a cost.
         let max_fill = if current.is_some() { LIGHT_LOAD_FILL } else { ADMISSION_MAX_FILL };
         let offered = (class.min_rung..=max_rung).rev().find(|&rung| {
             let rate_kb = self.rate_kb(request.class, rung);
             fits(rate_kb, LIGHT_LOAD_FILL) && rung <= priced
                 || fits(rate_kb, max_fill) && region_has_slot(rung, rate_kb)
         });
-        // Region sizes lag and rates are estimates: given headroom, the lowest rung is offered in any case.
+        // Region sizes lag and rates are rough, so the lowest rung is offered while the link has headroom.
         let lowest_fits =
             current.is_none() && fits(self.rate_kb(request.class, class.min_rung), ADMISSION_MAX_FILL);
         offered.or(lowest_fits.then_some(class.min_rung))
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of attempts: whatever server was selected, they bound what may be sent, when and where.
+//! Invariants of attempts. They bound what may be sent, when and where, whatever server was selected.
 use crate::interface::{Class, Idempotency, Lifecycle, RequestId, RetryScope, SessionRequest, Time};
 use crate::outliers::open_slot;
 use crate::state::{PlacementPolicy, ServerRecord, SessionRecord, SessionState, TimeArithmetic};
@@ -18,7 +18,7 @@
         server.endpoint.lifecycle == Lifecycle::Ready && (now >= server.slow_start_until || in_slot())
     }
 
-    /// Whether a request may be attempted now: none in progress, in time, within all limits, safe to repeat.
+    /// Whether a request may be attempted now: it is pending, in time, safe to repeat and within all limits.
     pub(crate) fn may_attempt(&mut self, now: Time, request: RequestId) -> bool {
         let window_start = now.0.saturating_sub(self.settings.retry_budget_window);
         self.request_times.retain(|at| at.0 >= window_start);
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -6,9 +6,9 @@
 };
 
 pub(crate) const LIGHT_LOAD_FILL: f64 = 0.8; // Fill up to which a session gets the best rung that fits.
-const MIN_DEMAND_OVER_OWN: f64 = 0.7; // Bounds of total over own demand, each times the replicas.
+const MIN_DEMAND_OVER_OWN: f64 = 0.7; // Bounds of `demand_over_own`, as multiples of the number of replicas.
 const MAX_DEMAND_OVER_OWN: f64 = 1.4;
-const FRESH_SECONDS: f64 = 6.0; // Age from which a measurement fades to the mean, and time constant of that.
+const FRESH_SECONDS: f64 = 6.0; // A measurement fades to the mean from this age on, with this time constant.
 const SATURATED_UTILIZATION: f64 = 0.97; // Utilization is capped at 1: from here on it hides the demand.
 const REPORT_AGE_NS: u64 = SECOND / 3; // Usual age of a load report on arrival.
 const OWN_CHANGES_KEPT_NS: u64 = 8 * SECOND; // Longer than the age of any measurement on arrival.
@@ -22,7 +22,7 @@
 const FAULTY_DELIVERY: f64 = 0.75; // Below this fraction, a server with headroom is at fault.
 const MIN_DELIVERY: f64 = 0.3; // A short delivery raises the fill to the reciprocal of this at most.
 const SHORT_DELIVERY_KEPT_NS: u64 = 3 * SECOND; // Short delivery is over when not reported for this long.
-const LINK_LIMITED_FILL: f64 = 0.93; // Fill times delivery above which the link explains a short one.
+const LINK_LIMITED_FILL: f64 = 0.93; // Above this fill times ratio, the link explains a short delivery.
 
 impl LoadEstimate {
     /// Adds a change in the rates of our own sessions, kB per second.
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Growth of all links' fill per second, from the net starts of our sessions less a standard deviation.
+    /// Growth of the fill of all links per second, from our net session starts less one standard deviation.
     fn measured_growth(&mut self, now: Time) -> f64 {
         self.session_changes.retain(|change| now.since(change.at) < GROWTH_WINDOW_NS);
         let net_starts: f64 = self.session_changes.iter().map(|change| change.delta).sum();
--- a/crates/policy/src/outliers.rs
+++ b/crates/policy/src/outliers.rs
@@ -3,15 +3,15 @@
 use crate::regions::MAX_COUNTED_STREAMS;
 use crate::state::{PlacementPolicy, ServerRecord, TimeArithmetic, SECOND};
 
-const MIN_EJECTION_NS: u64 = SECOND; // Length of the first ejection; each further one is twice as long, ...
-const MAX_EJECTION_NS: u64 = 8 * SECOND; // ... up to this.
+const MIN_EJECTION_NS: u64 = SECOND; // Length of the first ejection; each further one is twice as long.
+const MAX_EJECTION_NS: u64 = 8 * SECOND; // Longest ejection.
 const REQUIRED_TRIALS: u32 = 3; // Successes in a row after which an ejected server takes all requests again.
 const OVERLAPPING_WINDOWS: f64 = 2.0; // Slots that overlap a window begin in it or in the one before it.
-const STUCK_SETUP_TIMES: f64 = 4.0; // An attempt pending for this many mean set-up times is stuck, ...
-const MIN_STUCK_NS: f64 = 0.3 * SECOND as f64; // ... but not before this time.
+const STUCK_SETUP_TIMES: f64 = 4.0; // An attempt pending for this many mean set-up times is stuck.
+const MIN_STUCK_NS: f64 = 0.3 * SECOND as f64; // Shortest time after which an attempt counts as stuck.
 
 impl ServerRecord {
-    /// Records a failure: ejects the server, longer each time; then idempotent classes try it first.
+    /// Records a failure: ejects the server, longer each time, then requires trials by idempotent classes.
     pub(crate) fn record_failure(&mut self, now: Time) {
         self.trials_left = REQUIRED_TRIALS;
         if now < self.ejected_until {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -3,12 +3,12 @@
 use crate::regions::REPRESENTATIVE_SESSIONS;
 use crate::state::{Actions, EndedAttempt, PlacementPolicy, TimeArithmetic, SECOND};
 
-pub(crate) const STALL_THRESHOLD_NS: u64 = SECOND / 2; // A tick this late means that this process stalled.
-pub(crate) const INITIAL_SESSION_SECONDS: f64 = 30.0; // Mean session length assumed at the start, ...
-pub(crate) const INITIAL_COMPLETED: f64 = 3.0; // ... which weighs as much as this many completed sessions.
+pub(crate) const STALL_THRESHOLD_NS: u64 = SECOND / 2; // A tick this late shows that this process stalled.
+pub(crate) const INITIAL_SESSION_SECONDS: f64 = 30.0; // Mean session length assumed at the start.
+pub(crate) const INITIAL_COMPLETED: f64 = 3.0; // Weight of that assumption, in completed sessions.
 pub(crate) const INITIAL_SETUP_TIME_NS: f64 = 0.15 * SECOND as f64; // Mean set-up time assumed at the start.
-pub(crate) const ARRIVAL_WINDOW_SECONDS: f64 = 15.0; // Time constant of the arrival counts; ...
-const ARRIVAL_WINDOW_REQUESTS: f64 = 10.0; // ... longer if fewer requests than this arrive in that time.
+pub(crate) const ARRIVAL_WINDOW_SECONDS: f64 = 15.0; // Time constant of the arrival counts.
+const ARRIVAL_WINDOW_REQUESTS: f64 = 10.0; // The time constant grows until it spans this many requests.
 
 impl PlacementPolicy {
     /// Handles one event and appends the resulting actions to `actions`, in the order to carry them out.
--- a/crates/policy/src/promotion.rs
+++ b/crates/policy/src/promotion.rs
@@ -7,9 +7,9 @@
 const RANDOM_PROMOTION_FILL: f64 = 0.7; // Fill of link and uplink that randomized promotions aim at.
 const PROMOTION_PAUSE_NS: u64 = 30 * SECOND; // Shortest time between two promotions of a session.
 const DEMOTION_PAUSE_NS: u64 = 12 * SECOND; // Shortest time from a demotion to a promotion of a session.
-const PROMOTION_PAYBACK: f64 = 6.0; // Remaining time that a promotion needs, in rung change costs.
-const OVERLOAD_FILL: f64 = 1.03; // Fill beyond which sessions are demoted ...
-const RELIEF_TARGET_FILL: f64 = 0.95; // ... and the fill that demotions aim at.
+const PROMOTION_PAYBACK: f64 = 6.0; // Least remaining time for a promotion, in rung change costs.
+const OVERLOAD_FILL: f64 = 1.03; // Fill beyond which sessions are demoted.
+const RELIEF_TARGET_FILL: f64 = 0.95; // Fill that demotions aim at.
 const HEAVY_OVERLOAD_FILL: f64 = 1.5; // Fill beyond which a session may be demoted by several rungs at once.
 
 impl PlacementPolicy {
@@ -18,8 +18,8 @@
         self.estimated_streams(server).min(f64::from(self.settings.replica_count)).max(1.0)
     }
 
-    /// Where not all replicas can promote, each does with the probability that fills the link in the mean.
-    /// Otherwise, many replicas with a session each would promote nothing. If too many do, relief follows.
+    /// Where the promotions of all replicas would not fit, promotes with the probability that fills the link.
+    /// Without this, many replicas with a session each would promote nothing. If too many do, relief follows.
     fn random_promotion(&mut self, id: ServerId, request: RequestId) -> Option<u8> {
         let server = self.servers.get(&id)?;
         let session = self.sessions.get(&request)?;
@@ -56,7 +56,7 @@
             let offered = self.top_rung(&session.request, id, Some(current));
             let promoted = match offered.filter(|rung| *rung > current) {
                 Some(rung) => Some(rung),
-                // A measurement allows one random promotion, but the random number is drawn in any case.
+                // Random promotions need a new measurement, but the random number is drawn in any case.
                 None => self.random_promotion(id, request).filter(|_| measured),
             };
             if let Some(rung) = promoted {
--- a/crates/policy/src/regions.rs
+++ b/crates/policy/src/regions.rs
@@ -13,8 +13,8 @@
 pub(crate) const REPRESENTATIVE_SESSIONS: f64 = 30.0; // Sessions that make a representative sample.
 const RESIZE_INTERVAL_NS: u64 = 10 * SECOND; // Time between two sizings of a server's regions.
 const MIN_PAUSE_FACTOR: f64 = 0.1; // Pauses are not shortened below this fraction.
-const OFFERED_STEP_WIDTH: f64 = 0.2; // Links in the same step of offered load (width in ln) ...
-const BUDGET_STEP_WIDTH: f64 = 0.05; // ... and in the same step of capacity (width in ln) are sized alike.
+const OFFERED_STEP_WIDTH: f64 = 0.2; // Width (in ln) of the steps of offered load that are sized alike.
+const BUDGET_STEP_WIDTH: f64 = 0.05; // Width (in ln) of the steps of rate budget that are sized alike.
 pub(crate) const MAX_COUNTED_STREAMS: f64 = 10_000.0; // Higher stream capacities count as this one.
 const MAX_TRADES: usize = 200; // Most trades of slots in one climb.
 const INITIAL_TRADE_DIVISOR: u32 = 16; // A climb's first trades move 1/16 of the slots that it starts with.
@@ -92,7 +92,7 @@
         (nanoseconds as f64 * self.pause_factor()) as u64
     }
 
-    /// Sizes a server's regions if due. Its own arrivals weigh as much as the mean once it expects one.
+    /// Sizes a server's regions if due. Its arrivals weigh as much as the mean once it expects one arrival.
     pub(crate) fn size_regions(&mut self, now: Time, id: ServerId) {
         let mean_arrivals = self.arrivals.requests / self.fleet.servers_up.max(1.0);
         let rate = mean_arrivals / self.arrivals.seconds.max(1.0);
@@ -121,7 +121,7 @@
         server.region_slots.clone_from(slots);
     }
 
-    /// Sets the price of a kB at which all sessions fill the links to the target, if others react like ours.
+    /// Sets the price of a kB at which all sessions fill the links to the target, if all react like ours.
     pub(crate) fn reprice(&mut self) {
         let demand_kb: f64 = (0..self.uplink_groups.len())
             .map(|group| self.uplink_fill(group) * self.uplink_groups[group].uplink.capacity_kb)
