--- a/crates/front/src/core/actions.rs
+++ b/crates/front/src/core/actions.rs
@@ -2,14 +2,15 @@
 use super::Core;
 use crate::keys::RequestOutcome;
 use crate::output::{Answer, FailureReason, Notification, Output, RejectReason};
-use crate::overload::retry_after;
+use crate::overload::retry_after_from_ns;
 use crate::timers::TimerEntry;
 use crankpaddle::{Action, AttemptOutcome, LoadReport, RequestId};
 use crankpaddle_recovery::RecoveryStage;
 use std::time::Duration;
 
 impl Core {
-    /// Passes the queued events to the policy and carries its actions out, until nothing is left of either.
+    /// Passes the queued events to the policy and carries out its actions, until no event is left. Actions may queue
+    /// further events.
     pub(super) fn run_policy(&mut self, out: &mut Vec<Output>) {
         while let Some(event) = self.events.pop_front() {
             if let Some(observer) = &mut self.event_observer {
@@ -48,7 +49,7 @@
             Action::HealthCheck(server) => out.push(Output::HealthCheck(server)),
             Action::SubscribeEndpoints => out.push(Output::SubscribeEndpoints),
             Action::FetchEndpoints => out.push(Output::FetchEndpoints),
-            Action::Broadcast(_) => {} // Fronts exchange no messages of the policy.
+            Action::Broadcast(_) => {} // Fronts do not exchange messages of the policy.
             Action::Log(line) => out.push(Output::Log(line)),
         }
     }
@@ -67,9 +68,12 @@
         }
     }
 
-    /// Rejects a request; `retry_after_ns` as the policy states it, in nanoseconds, 0 for none.
+    /// Rejects a request. `retry_after_ns` is the Retry-After chosen by the policy, 0 for none.
     fn reject(&mut self, id: RequestId, retry_after_ns: u64, out: &mut Vec<Output>) {
-        let class = self.requests.get(&id).map(|request| request.session.class);
+        let class = self
+            .requests
+            .get(&id)
+            .map(|request| request.session_request.class);
         if self.stage() == RecoveryStage::PaidOnly && class.is_some_and(|class| self.is_paid(class))
         {
             self.staged_recovery
@@ -82,12 +86,12 @@
         };
         let rejected = Answer::Rejected {
             reason,
-            retry_after: retry_after(retry_after_ns),
+            retry_after: retry_after_from_ns(retry_after_ns),
         };
         self.answer_waiting(id, rejected, out);
     }
 
-    /// Whether the class may not be served from some other zone.
+    /// Whether there is a zone from which the class must not be served.
     fn is_cross_zone_forbidden(&self, class: u8) -> bool {
         self.cross_zone_forbidden
             .iter()
@@ -102,7 +106,7 @@
         self.answer_waiting(id, Answer::Failed(failure), out);
     }
 
-    /// Cancels the attempt with the given number, unless it is no longer the last one or has been answered.
+    /// Cancels the attempt with this number, unless a later attempt was started or the attempt was answered.
     fn cancel_attempt(&mut self, id: RequestId, number: u8, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id) else {
             return;
--- a/crates/front/src/core/attempts.rs
+++ b/crates/front/src/core/attempts.rs
@@ -9,7 +9,7 @@
 use crankpaddle_time::nanoseconds;
 
 impl Core {
-    /// A server answered a set-up, or its attempt ended without an answer.
+    /// Handles a server's answer to a set-up, or the end of an attempt without an answer.
     pub(super) fn set_up_completed(
         &mut self,
         attempt: AttemptId,
@@ -32,7 +32,7 @@
             return;
         };
         if now >= request.viewer_deadline {
-            // Handled too late, perhaps because this process was stalled: the viewer has given up.
+            // The answer is handled after the viewer gave up, perhaps because this process was stalled.
             out.push(Output::AbandonAttempt(attempt, outstanding.server));
             return self.attempt_failed(attempt, AttemptOutcome::Timeout, report);
         }
@@ -62,13 +62,13 @@
         }
     }
 
-    /// A request that waited plays from now on.
+    /// Counts a request as playing that was counted as waiting so far.
     fn count_established(&mut self, player: Option<PlayerId>) {
-        self.waiting -= 1;
-        self.playing += 1;
+        self.waiting_count -= 1;
+        self.playing_count += 1;
         let player = player.and_then(|player| self.players.get_mut(&player));
         if let Some(player) = player {
-            player.waiting = player.waiting.saturating_sub(1);
+            player.waiting_count = player.waiting_count.saturating_sub(1);
         }
     }
 
@@ -85,7 +85,7 @@
         });
     }
 
-    /// Passes the demand stated by the load report that came with the answer on to the policy.
+    /// Passes the link and uplink demand in the load report of an answer to the policy.
     fn emit_demand(&mut self, request: RequestId, attempt: OutstandingAttempt, report: LoadReport) {
         for (field, value) in report {
             let update = match field {
@@ -111,7 +111,7 @@
         end: SessionEnd,
         out: &mut Vec<Output>,
     ) {
-        if end.was_cut() {
+        if end.was_interrupted() {
             self.end_playing(id, end, RequestOutcome::Failed);
         } else {
             self.end_session(attempt, end.outcome, end.report, out);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Abandons an attempt that was not answered within its time.
+    /// Abandons an attempt that was not answered before its time-out.
     pub(super) fn attempt_timed_out(&mut self, attempt: AttemptId, out: &mut Vec<Output>) {
         let Some((id, request)) = self.request_of(attempt) else {
             return;
@@ -136,8 +136,8 @@
         let Some(outstanding) = request.waiting_attempt() else {
             return;
         };
-        // Why: an attempt that a slow disk defers was not sent. Reported as one that may have run, it would make a paid
-        // request fail.
+        // An attempt that is deferred by a slow disk was not sent. If it were reported as one that may have run, a paid
+        // request would fail instead of being retried or rejected.
         let outcome = match outstanding.send_state {
             SendState::Deferred => AttemptOutcome::NotSent,
             SendState::Sent => AttemptOutcome::Timeout,
@@ -148,8 +148,8 @@
         self.fail_if_unanswered(id, out);
     }
 
-    /// The request's deadline has passed: it is answered now.
-    pub(super) fn answer_overdue(&mut self, id: RequestId, out: &mut Vec<Output>) {
+    /// Answers a request at its deadline, and abandons its attempt.
+    pub(super) fn answer_deadline_expired(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -159,8 +159,8 @@
         self.fail_if_unanswered(id, out);
     }
 
-    /// Fails a request that waits without an outstanding attempt, since nothing else would answer it. The policy
-    /// decides on each request at once; this is a safeguard should it ever not.
+    /// Fails a request that waits without an outstanding attempt, since nothing else would answer it. This is a
+    /// safeguard: the policy is expected to decide on each request at once.
     pub(super) fn fail_if_unanswered(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -174,7 +174,7 @@
         self.answer_waiting(id, Answer::Failed(failure), out);
     }
 
-    /// An attempt ended before its session was established; the policy decides whether to retry.
+    /// Handles the end of an attempt before its session was established. The policy decides whether to retry.
     pub(super) fn attempt_failed(
         &mut self,
         attempt: AttemptId,
@@ -189,14 +189,15 @@
         }
     }
 
-    /// The request of an outstanding attempt.
+    /// The request of an outstanding or playing attempt.
     pub(super) fn request_of(&mut self, attempt: AttemptId) -> Option<(RequestId, &mut Request)> {
         let id = *self.attempts.get(&attempt)?;
         let request = self.requests.get_mut(&id)?;
         Some((id, request))
     }
 
-    /// Removes an attempt, established or not, and reports it to the policy once. `is_final`: no retry may follow.
+    /// Removes an attempt, whether it established its session or not, and reports its end to the policy exactly once.
+    /// With `is_final`, the policy must not retry.
     pub(super) fn conclude_attempt(&mut self, attempt: AttemptId, end: SessionEnd, is_final: bool) {
         let Some(id) = self.attempts.remove(&attempt) else {
             return;
@@ -224,12 +225,13 @@
     }
 }
 
-/// The answer to a set-up that started: `established`, unless the session was cut before its answer was handled.
+/// The answer to a successful set-up: `established`, unless the session was interrupted before the server's answer was
+/// handled.
 ///
-/// Why: a session that was cut does not play, and its viewer would wait for it for ever. It is not rejected, since it
-/// ran. A session that already ran to its end is answered as established.
+/// An interrupted session does not play, and its viewer would wait for it forever. The request is not rejected, because
+/// the session ran. A session that has already run to its end is answered as established.
 fn answer_to_set_up(established: Answer, early_end: Option<&SessionEnd>) -> Answer {
-    if early_end.is_some_and(SessionEnd::was_cut) {
+    if early_end.is_some_and(SessionEnd::was_interrupted) {
         Answer::Failed(FailureReason::ConnectionLost)
     } else {
         established
--- a/crates/front/src/core/completion.rs
+++ b/crates/front/src/core/completion.rs
@@ -1,4 +1,4 @@
-//! The end of requests: of sessions that play and of requests that wait.
+//! Ending requests that wait and sessions that play.
 use super::request::{OutstandingAttempt, RequestPhase, SessionEnd};
 use super::Core;
 use crate::keys::RequestOutcome;
@@ -6,7 +6,7 @@
 use crankpaddle::{AttemptOutcome, Event, LoadReport, RequestId};
 
 impl SessionEnd {
-    /// An end without a load report, since no server reported it.
+    /// An end that was not reported by a server and has no load report.
     pub(super) fn without_report(outcome: AttemptOutcome) -> SessionEnd {
         SessionEnd {
             outcome,
@@ -16,7 +16,7 @@
 }
 
 impl Core {
-    /// Ends a playing session at its server. Returns whether it played.
+    /// Ends a playing session and requests its server to tear it down. Returns whether the session played.
     pub(super) fn tear_down(
         &mut self,
         id: RequestId,
@@ -34,7 +34,7 @@
         self.end_playing(id, SessionEnd::without_report(outcome), request_outcome)
     }
 
-    /// Ends a playing session that its server has ended. Returns whether it played.
+    /// Ends a playing session in the core's state, without an output to its server. Returns whether the session played.
     pub(super) fn end_playing(
         &mut self,
         id: RequestId,
@@ -48,7 +48,7 @@
             return false;
         };
         let player = request.player.take();
-        self.playing -= 1;
+        self.playing_count -= 1;
         self.conclude_attempt(attempt.id, end, true);
         self.set_ended(id, request_outcome);
         self.detach(id, player, false);
@@ -66,12 +66,14 @@
         }
         debug_assert!(
             request.waiting_attempt().is_none(),
-            "an answer while an attempt is outstanding"
+            "request {} is answered while an attempt is outstanding",
+            id.0
         );
-        let ran_once = request.may_have_run && self.is_paid(request.session.class);
-        // The last check before the player: a rejection states that nothing ran.
+        let paid_set_up_may_have_run =
+            request.may_have_run && self.is_paid(request.session_request.class);
+        // A rejection states that nothing ran, so this is checked once more before the player gets it.
         let answer = match answer {
-            Answer::Rejected { .. } if ran_once => Answer::Failed(request.failure),
+            Answer::Rejected { .. } if paid_set_up_may_have_run => Answer::Failed(request.failure),
             other => other,
         };
         let outcome = match answer {
@@ -84,7 +86,7 @@
         self.end_waiting(id, outcome);
     }
 
-    /// Cancels the outstanding attempt of a request that waits; no retry follows.
+    /// Cancels the outstanding attempt of a request that waits, without a retry.
     pub(super) fn withdraw_attempt(
         &mut self,
         id: RequestId,
@@ -108,7 +110,7 @@
         request.phase = RequestPhase::Ended(outcome);
         request.call = None;
         let player = request.player.take();
-        self.waiting -= 1;
+        self.waiting_count -= 1;
         self.detach(id, player, true);
         self.retain_or_remove(id);
     }
--- a/crates/front/src/core/config.rs
+++ b/crates/front/src/core/config.rs
@@ -1,23 +1,24 @@
 //! The configuration of a core.
 use std::time::Duration;
 
-/// The core's own configuration, beside the placement policy's settings.
+/// The configuration of the core itself, in addition to the settings of the placement policy.
 #[derive(Clone, Debug)]
 pub struct CoreConfig {
-    /// Longest wait of a viewer, for each class.
+    /// Maximum time that a viewer waits for an answer, indexed by class.
     pub max_wait: Vec<Duration>,
-    /// A request is answered at least this long before its viewer gives up.
+    /// A request is answered at the latest this long before its viewer gives up, or after half of the viewer's wait if
+    /// that is later.
     pub answer_margin: Duration,
-    /// A disconnected player may reattach to its sessions within this time.
+    /// The time within which a disconnected player may reattach to its requests and sessions before they end.
     pub resume_window: Duration,
-    /// The viewer of a session that a previous incarnation had set up may reattach to it within this time.
+    /// The time within which a viewer may reattach to a session that a previous incarnation of the front set up.
     pub recovered_resume_window: Duration,
-    /// Most pending requests in all.
+    /// Maximum number of pending requests in total.
     pub max_pending: usize,
-    /// Most pending requests of one connection.
+    /// Maximum number of pending requests of one connection.
     pub max_pending_per_player: usize,
-    /// Keys of ended paid sessions are retained for this time ...
+    /// How long the keys of ended paid sessions are retained, counted from when their viewers would have given up.
     pub key_retention: Duration,
-    /// ... but no more than this many of them.
+    /// Maximum number of retained keys. The oldest are removed first; 0 retains none.
     pub max_retained_keys: usize,
 }
--- a/crates/front/src/core/dispatch.rs
+++ b/crates/front/src/core/dispatch.rs
@@ -5,20 +5,19 @@
 use crankpaddle::{AttemptOutcome, CrossZonePolicy, Event, LoadReport, ServerId, Time};
 
 impl Core {
-    /// Handles `input` at `now` and adds to `out` what does not depend on the policy: the answers of servers, ends of
-    /// sessions, withdrawals. Carry these out, handle the other inputs that are ready, and only then call
-    /// [`Core::decide`]. Only further inputs may come between an input and its decision.
+    /// Handles `input` at `now` and appends to `out` the outputs that do not depend on the policy: answers that follow
+    /// from those of servers, ends of sessions, and withdrawals. The caller carries them out, handles the other inputs
+    /// that are ready, and then calls [`Core::decide`]. No other method that changes the core may be called in between.
     ///
-    /// Why: an answer that waited until the policy had processed this event (sizing, promotions) and the events before
-    /// it could reach a viewer who has just left: with a small share of a CPU, some tens of microseconds become half a
-    /// millisecond. The same holds for ends of sessions. The price: the policy handles no input of a batch before the
-    /// whole batch was received.
+    /// The separation from the policy shortens the time until an answer is sent. If an answer waited until the policy
+    /// had processed this event and those before it (sizing, promotions), it could reach a viewer that has just left:
+    /// on a small share of a CPU, some tens of microseconds become half a millisecond. The same applies to ends of
+    /// sessions. The disadvantage is that the policy handles no input of a batch before the whole batch was received.
     pub fn handle_input(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         self.now = now;
         self.dispatch(input, out);
     }
 
-    /// Hands the input to its handler.
     fn dispatch(&mut self, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Open {
--- a/crates/front/src/core/invariants.rs
+++ b/crates/front/src/core/invariants.rs
@@ -6,20 +6,20 @@
 /// An invariant of a core's state that does not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvariantViolation {
-    /// The count of waiting requests differs from the requests that wait.
+    /// The count of waiting requests differs from the number of requests that wait.
     #[error("{count} requests are counted as waiting, but {requests} wait")]
     WaitingCount {
         /// The count that the core keeps.
         count: usize,
-        /// The requests that wait.
+        /// The number of requests that wait.
         requests: usize,
     },
-    /// The count of playing sessions differs from the sessions that play.
+    /// The count of playing sessions differs from the number of sessions that play.
     #[error("{count} sessions are counted as playing, but {sessions} play")]
     PlayingCount {
         /// The count that the core keeps.
         count: usize,
-        /// The sessions that play.
+        /// The number of sessions that play.
         sessions: usize,
     },
     /// A request waits without an outstanding attempt.
@@ -28,45 +28,45 @@
     /// A request has ended, but a call waits for its answer or a player is attached to it.
     #[error("request {} has ended, but a call or a player is attached to it", .0 .0)]
     EndedButAttached(RequestId),
-    /// The attempt of a request does not lead back to it.
-    #[error("the attempt of request {} does not lead back to it", .0 .0)]
+    /// The outstanding attempt of a request is not registered, or is registered for another request.
+    #[error("the attempt of request {} is not registered for it", .0 .0)]
     UnknownAttempt(RequestId),
-    /// A request is not among those of its player.
-    #[error("request {} is not among those of its player", .0 .0)]
-    NotWithPlayer(RequestId),
-    /// There are attempts that belong to no request that waits or plays.
+    /// A request is attached to a player that does not list it.
+    #[error("request {} is attached to a player that does not list it", .0 .0)]
+    NotListedByPlayer(RequestId),
+    /// The number of attempts differs from the number of requests that wait or play.
     #[error("{attempts} attempts are outstanding, but {requests} requests wait or play")]
     OrphanedAttempts {
-        /// The outstanding attempts.
+        /// The number of outstanding attempts.
         attempts: usize,
-        /// The requests that wait or play.
+        /// The number of requests that wait or play.
         requests: usize,
     },
-    /// Players count more waiting requests than there are.
-    #[error("players count {of_players} waiting requests, but {waiting} wait")]
+    /// The players together count more waiting requests than there are.
+    #[error("players count {counted_by_players} waiting requests, but {waiting} wait")]
     PlayersWaitingCount {
-        /// The sum of the players' counts.
-        of_players: usize,
-        /// The requests that wait.
+        /// The sum of the players' counts of waiting requests.
+        counted_by_players: usize,
+        /// The number of requests that wait.
         waiting: usize,
     },
-    /// There are more keys than requests.
+    /// There are more keys than requests, so at least one key has no request.
     #[error("{keys} keys are known, but only {requests} requests")]
     OrphanedKeys {
-        /// The known keys.
+        /// The number of known keys.
         keys: usize,
-        /// The known requests.
+        /// The number of known requests.
         requests: usize,
     },
 }
 
 impl Core {
-    /// Checks what must hold between any two calls, whatever the inputs were.
+    /// Checks the invariants that must hold after each [`Core::decide`], whatever the inputs were.
     ///
     /// # Errors
     ///
-    /// The first invariant that does not hold.
-    pub fn check(&self) -> Result<(), InvariantViolation> {
+    /// Returns the first invariant that does not hold.
+    pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
         self.check_counts()?;
         for (id, request) in &self.requests {
             self.check_request(*id, request)?;
@@ -78,16 +78,16 @@
 
     fn check_counts(&self) -> Result<(), InvariantViolation> {
         let requests = self.count_phase(|phase| matches!(phase, RequestPhase::Waiting(_)));
-        ensure(requests == self.waiting, || {
+        ensure(requests == self.waiting_count, || {
             InvariantViolation::WaitingCount {
-                count: self.waiting,
+                count: self.waiting_count,
                 requests,
             }
         })?;
         let sessions = self.count_phase(|phase| matches!(phase, RequestPhase::Playing(_)));
-        ensure(sessions == self.playing, || {
+        ensure(sessions == self.playing_count, || {
             InvariantViolation::PlayingCount {
-                count: self.playing,
+                count: self.playing_count,
                 sessions,
             }
         })
@@ -110,32 +110,38 @@
         ensure(!(has_ended && is_attached), || {
             InvariantViolation::EndedButAttached(id)
         })?;
-        let attempt_known = request
+        let is_attempt_registered = request
             .outstanding_attempt()
             .is_none_or(|attempt| self.attempts.get(&attempt.id) == Some(&id));
-        ensure(attempt_known, || InvariantViolation::UnknownAttempt(id))?;
-        let with_player = request.player.is_none_or(|player| {
+        ensure(is_attempt_registered, || {
+            InvariantViolation::UnknownAttempt(id)
+        })?;
+        let is_listed = request.player.is_none_or(|player| {
             self.players
                 .get(&player)
                 .is_some_and(|player| player.requests.contains(&id))
         });
-        ensure(with_player, || InvariantViolation::NotWithPlayer(id))
+        ensure(is_listed, || InvariantViolation::NotListedByPlayer(id))
     }
 
     fn check_attempts(&self) -> Result<(), InvariantViolation> {
         let attempts = self.attempts.len();
-        let requests = self.waiting + self.playing;
+        let requests = self.waiting_count + self.playing_count;
         ensure(attempts == requests, || {
             InvariantViolation::OrphanedAttempts { attempts, requests }
         })
     }
 
     fn check_players(&self) -> Result<(), InvariantViolation> {
-        let of_players = self.players.values().map(|player| player.waiting).sum();
-        let waiting = self.waiting;
-        ensure(of_players <= waiting, || {
+        let counted_by_players = self
+            .players
+            .values()
+            .map(|player| player.waiting_count)
+            .sum();
+        let waiting = self.waiting_count;
+        ensure(counted_by_players <= waiting, || {
             InvariantViolation::PlayersWaitingCount {
-                of_players,
+                counted_by_players,
                 waiting,
             }
         })
--- a/crates/front/src/core/key_retention.rs
+++ b/crates/front/src/core/key_retention.rs
@@ -6,7 +6,8 @@
 use crankpaddle::RequestId;
 
 impl Core {
-    /// Retains an ended request while its key must not be set up again, in bounded memory; removes it otherwise.
+    /// Retains an ended request, in bounded memory, if another open request with its key must not be treated as an
+    /// ordinary new one. Removes the request otherwise.
     pub(super) fn retain_or_remove(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -14,14 +15,14 @@
         let RequestPhase::Ended(outcome) = request.phase else {
             return;
         };
-        let idempotency = self.idempotency(request.session.class);
-        let reopen = keys::reopen(request.key_state(), idempotency);
+        let idempotency = self.idempotency(request.session_request.class);
+        let reopen = keys::decide_reopen(request.key_state(), idempotency);
         if outcome != RequestOutcome::Migrated && reopen == ReopenDecision::StartNew {
             return self.remove_ended(id);
         }
         let retained_until = request.viewer_deadline + self.config.key_retention;
-        // Why: a timer set for a time long past makes the driver of the core assume a stall. A session that played for
-        // longer than its key is retained would set one at its end.
+        // A session that played for longer than its key is retained would set a timer in the past at its end, and a
+        // timer that expired long ago makes the driver of the core assume that the process was stalled.
         if self.config.max_retained_keys == 0 || retained_until <= self.now {
             return self.remove_ended(id);
         }
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Removes a request that has ended, and its key.
+    /// Removes a request that has ended, and its key unless the key names a newer request.
     pub(super) fn remove_ended(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -48,7 +49,7 @@
             return;
         }
         let key = SessionKey {
-            tenant: request.session.tenant,
+            tenant: request.session_request.tenant,
             key: request.key.clone(),
         };
         self.requests.remove(&id);
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -1,10 +1,10 @@
-//! The state machine of a front: its state, its public interface and how it is driven.
+//! The state machine of a front: its state, its public interface and the processing of inputs and timers.
 //!
-//! [`dispatch`] hands inputs to their handlers: [`open`] (new requests), [`requests`] (resume, close, adopt),
+//! [`dispatch`] passes inputs to their handlers: [`open`] (new requests), [`requests`] (resume, close, adopt),
 //! [`players`] (disconnects), [`attempts`] and [`sessions`] (messages of servers), [`startup_recovery`] and
-//! [`recovered_keys`] (after a power loss), [`shutdown`]. They queue events for the placement policy; [`actions`] runs
-//! the policy and carries its actions out, [`set_up`] starts attempts. [`completion`] ends requests, [`key_retention`]
-//! keeps their keys for a while.
+//! [`recovered_keys`] (after a power loss), [`shutdown`]. They queue events for the placement policy. [`actions`]
+//! runs the policy and carries its actions out, and [`set_up`] starts attempts. [`completion`] ends requests, and
+//! [`key_retention`] retains their keys for a limited time.
 mod actions;
 mod attempts;
 mod completion;
@@ -39,62 +39,66 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
-/// Observes the events that the placement policy gets.
+/// A callback that is called with each event, and its time, before the placement policy handles it.
 pub type EventObserver = Box<dyn FnMut(Time, &Event) + Send>;
 
-/// Latency objective where no class is configured.
+/// The latency objective if no class is configured.
 const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// The state of a front. The crate's documentation describes how it is driven.
+/// The state machine of a front. The crate's documentation describes how to drive it.
 pub struct Core {
     policy: PlacementPolicy,
     settings: Settings,
     config: CoreConfig,
     overload: OverloadDetector,
     requests: BTreeMap<RequestId, Request>,
+    /// The latest request of each known key.
     keys: HashMap<SessionKey, RequestId>,
-    /// The outstanding attempts.
+    /// The outstanding attempts, including those whose sessions play.
     attempts: HashMap<AttemptId, RequestId>,
     players: BTreeMap<PlayerId, Player>,
     /// Ended requests whose keys are retained, oldest first.
     retained_keys: VecDeque<RequestId>,
     timers: Timers,
-    /// Number of requests that wait.
-    waiting: usize,
+    /// Number of requests that wait for an answer, without those in the recovery queue.
+    waiting_count: usize,
     /// Number of sessions that play.
-    playing: usize,
+    playing_count: usize,
+    /// The last request id that was assigned.
     last_request: u64,
+    /// The last attempt id that was assigned.
     last_attempt: u64,
+    /// Whether new sessions are rejected.
     draining: bool,
-    /// Number of fronts that the policy divides the limits by.
+    /// Number of fronts among which the policy divides the limits.
     replica_count: u32,
     /// Number of fronts in the fleet, as reported by peers.
     known_fronts: u32,
-    /// Number of fronts before the restart, as persisted.
+    /// Number of fronts before the restart, read from persisted state; a lower bound until the recovery ends.
     previous_fronts: ConservativeBound<u32>,
     staged_recovery: StagedRecovery,
-    /// How many steps of the staged recovery were reported.
+    /// Number of transitions of the staged recovery that were reported by outputs.
     reported_transitions: usize,
-    /// Whether all paid set-ups that may have left were persisted.
+    /// Whether the persisted state lists all paid set-ups that a previous incarnation may have sent.
     intents_complete: bool,
-    /// Paid keys of previous incarnations that may have run.
+    /// Keys of previous incarnations whose paid set-ups may have run, and whose outcomes are not known yet.
     unresolved_keys: BTreeSet<SessionKey>,
     recovery_queue: RecoveryQueue,
     /// Time of the current call.
     now: Time,
-    /// Zones, and classes that may not be served from there.
+    /// Pairs of a zone and a class that must not be served from that zone.
     cross_zone_forbidden: BTreeSet<(u8, u8)>,
     event_observer: Option<EventObserver>,
     /// Events that the policy has not handled yet, in order.
     events: VecDeque<Event>,
-    /// Empty between calls; kept for its capacity.
+    /// Buffer for the policy's actions, empty between calls. It is retained to avoid allocations.
     actions: Vec<Action>,
-    /// New requests that the policy has not decided yet.
+    /// New requests on which the policy has not decided yet.
     undecided_requests: Vec<RequestId>,
 }
 
 impl Core {
-    /// A core that has handled nothing. `seed` initializes the policy's random choices.
+    /// Creates a core without any state. `seed` initializes the policy's random choices.
     #[must_use]
     pub fn new(settings: Settings, config: CoreConfig, seed: u64, now: Time) -> Core {
         Core {
@@ -107,8 +111,8 @@
             players: BTreeMap::new(),
             retained_keys: VecDeque::new(),
             timers: Timers::default(),
-            waiting: 0,
-            playing: 0,
+            waiting_count: 0,
+            playing_count: 0,
             last_request: 0,
             last_attempt: 0,
             draining: false,
@@ -130,27 +134,28 @@
         }
     }
 
-    /// Passes each event to `observer` before the policy gets it: for tests that compare what drives the policy.
+    /// Passes each event to `observer` before the policy handles it. Tests use it to compare which events reach the
+    /// policy.
     pub fn set_event_observer(&mut self, observer: EventObserver) {
         self.event_observer = Some(observer);
     }
 
-    /// The policy's estimate of each server, and whether it accepts set-ups.
+    /// The policy's estimate of each server, which includes whether the server accepts set-ups.
     #[must_use]
     pub fn server_estimates(&self, now: Time) -> Vec<ServerEstimate> {
         self.policy.server_estimates(now)
     }
 
-    /// Number of requests that have no answer yet.
+    /// Number of requests that have no answer yet, including those in the recovery queue.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.waiting + self.recovery_queue.len()
+        self.waiting_count + self.recovery_queue.len()
     }
 
     /// Number of sessions that play.
     #[must_use]
     pub fn playing(&self) -> usize {
-        self.playing
+        self.playing_count
     }
 
     /// Whether no new sessions are accepted.
@@ -159,20 +164,20 @@
         self.draining
     }
 
-    /// Number of fronts that the policy divides the limits by.
+    /// Number of fronts among which the policy divides the limits.
     #[must_use]
     pub fn replica_count(&self) -> u32 {
         self.replica_count
     }
 
-    /// When [`Core::expire`] must be called next; `None` before the first input.
+    /// When [`Core::expire`] must be called next; `None` if no timer is set, as before the first input.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Time> {
         self.timers.next_expiry()
     }
 
-    /// Handles all timers that have expired at `now`. Why the caller reads its sockets first: after a stall, answers
-    /// that came in time are still unread and must be handled before the timers.
+    /// Handles all timers that have expired at `now`. The caller must read its sockets first: after a stall of the
+    /// process, answers that arrived in time are still unread and have to be handled before the timers.
     pub fn expire(&mut self, now: Time, out: &mut Vec<Output>) {
         self.decide(now, out);
         while let Some(entry) = self.timers.pop_expired(now) {
@@ -181,13 +186,14 @@
         }
     }
 
-    /// Handles `input` at `now` and adds what is to be done to `out`: [`Core::handle_input`], then [`Core::decide`].
+    /// Handles `input` at `now` and appends the resulting outputs to `out`. Equivalent to [`Core::handle_input`]
+    /// followed by [`Core::decide`].
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
         self.handle_input(now, input, out);
         self.decide(now, out);
     }
 
-    /// Lets the policy decide on all inputs handled so far, in their order, and adds what is to be done to `out`.
+    /// Lets the policy decide on all inputs handled so far, in their order, and appends the resulting outputs to `out`.
     pub fn decide(&mut self, now: Time, out: &mut Vec<Output>) {
         self.now = now;
         self.run_policy(out);
@@ -201,11 +207,11 @@
         match entry {
             TimerEntry::PolicyTimer(token) => self.emit(Event::Timer(token)),
             TimerEntry::AttemptTimeout(attempt) => self.attempt_timed_out(attempt, out),
-            TimerEntry::AnswerDeadline(request) => self.answer_overdue(request, out),
+            TimerEntry::AnswerDeadline(request) => self.answer_deadline_expired(request, out),
             TimerEntry::ResumeWindow {
                 request,
                 disconnects,
-            } => self.resume_window_over(request, disconnects, out),
+            } => self.resume_window_expired(request, disconnects, out),
             TimerEntry::KeyRetention(request) => self.remove_ended(request),
             TimerEntry::RecoveryQueue => self.answer_due_in_queue(out),
             TimerEntry::RecoveryStage => self.advance_recovery(out),
@@ -227,7 +233,7 @@
         self.class_settings(class).map(|class| class.idempotency)
     }
 
-    /// Whether a second set-up of the class is a second bill.
+    /// Whether each set-up of the class is billed, so that a second one would bill the viewer twice.
     fn is_paid(&self, class: u8) -> bool {
         self.idempotency(class) == Some(Idempotency::AtMostOnce)
     }
--- a/crates/front/src/core/open.rs
+++ b/crates/front/src/core/open.rs
@@ -1,4 +1,4 @@
-//! New requests for sessions: keys that are already known, load shedding, and the answer's deadline.
+//! New requests for sessions: known keys, load shedding and answer deadlines.
 use super::request::{Request, SessionKey};
 use super::startup_recovery::RecoveryDecision;
 use super::Core;
@@ -13,15 +13,15 @@
 use crankpaddle::{Event, SessionRequest, Time};
 use std::time::Duration;
 
-/// How long the answer to a request may take.
-pub(super) struct AnswerLimits {
+/// The times that limit the answer to a request.
+pub(super) struct AnswerDeadlines {
     /// When the viewer gives up.
     pub(super) viewer_deadline: Time,
-    /// When the request must be answered.
-    pub(super) deadline: Time,
+    /// When the request must be answered, before the viewer gives up.
+    pub(super) answer_deadline: Time,
 }
 
-/// Whether a new request follows an earlier one of its viewer.
+/// Whether a new request repeats an earlier one of its viewer.
 struct RequestOrigin {
     is_retry: bool,
     is_migration: bool,
@@ -36,66 +36,72 @@
         received_at: Time,
         out: &mut Vec<Output>,
     ) {
-        let opening = OpenCall {
+        let open_call = OpenCall {
             call,
             open,
             received_at,
         };
-        self.open(opening, received_at, out);
+        self.open(open_call, received_at, out);
     }
 
-    /// Opens a session. `ready_at` is when the request was ready to be decided: when it was read, or when it left the
-    /// recovery queue. Why: a request that was queued for recovery did not wait because this front is slow.
-    pub(super) fn open(&mut self, opening: OpenCall, ready_at: Time, out: &mut Vec<Output>) {
-        match self.admit_during_recovery(&opening) {
+    /// Opens a session. `ready_at` is when the core could first decide on the request: when it was read, or when it
+    /// left the recovery queue. Overload is measured from then, because the time in the recovery queue does not show
+    /// that this front is slow.
+    pub(super) fn open(&mut self, open_call: OpenCall, ready_at: Time, out: &mut Vec<Output>) {
+        match self.admit_during_recovery(&open_call) {
             RecoveryDecision::Serve => {}
             RecoveryDecision::Queued => return,
             RecoveryDecision::Answered(answer) => {
-                return out.push(Output::Answer(opening.call, answer));
+                return out.push(Output::Answer(open_call.call, answer));
             }
         }
-        let Some(origin) = self.resolve_key(&opening, out) else {
+        let Some(origin) = self.resolve_key(&open_call, out) else {
             return;
         };
-        if let Some(rejection) = self.shed_load(opening.call, ready_at) {
-            return out.push(Output::Answer(opening.call, rejection));
+        if let Some(rejection) = self.shed_load(open_call.call, ready_at) {
+            return out.push(Output::Answer(open_call.call, rejection));
         }
-        self.start_request(opening, origin);
+        self.start_request(open_call, origin);
     }
 
-    /// Resolves the key of an open. `None`: it was answered, or it joined the request that has its key.
-    fn resolve_key(&mut self, opening: &OpenCall, out: &mut Vec<Output>) -> Option<RequestOrigin> {
-        let open = &opening.open;
-        let first = RequestOrigin {
+    /// Looks the key of the request up. Returns `None` if the call was answered or joined the request with this key,
+    /// and otherwise the origin of a new request.
+    fn resolve_key(
+        &mut self,
+        open_call: &OpenCall,
+        out: &mut Vec<Output>,
+    ) -> Option<RequestOrigin> {
+        let open = &open_call.open;
+        let stated_origin = RequestOrigin {
             is_retry: open.is_retry,
             is_migration: open.is_migration,
         };
         let Some(id) = self.keys.get(&SessionKey::from(open)).copied() else {
-            return Some(first);
+            return Some(stated_origin);
         };
         let Some(request) = self.requests.get(&id) else {
-            return Some(first);
+            return Some(stated_origin);
         };
-        let origin = match keys::reopen(request.key_state(), self.idempotency(open.class)) {
+        let origin = match keys::decide_reopen(request.key_state(), self.idempotency(open.class)) {
             ReopenDecision::Join | ReopenDecision::Resume => {
-                self.reattach(opening.call, id, out);
+                self.reattach(open_call.call, id, out);
                 return None;
             }
             ReopenDecision::FailedBefore => {
                 let answer = Answer::Failed(request.failure);
-                out.push(Output::Answer(opening.call, answer));
+                out.push(Output::Answer(open_call.call, answer));
                 return None;
             }
             ReopenDecision::KeySpent => {
-                // Why it is not rejected: a rejection states that nothing ran, but this session ran. A player that
-                // reconnects after its server was lost would conclude that it may retry a paid request.
+                // A rejection would state that nothing ran, but this session ran. A player that reconnects after its
+                // server was lost would conclude that it may retry a paid request.
                 let answer = Answer::Failed(FailureReason::KeySpent);
-                out.push(Output::Answer(opening.call, answer));
+                out.push(Output::Answer(open_call.call, answer));
                 return None;
             }
             ReopenDecision::StartNew => RequestOrigin {
                 is_retry: true,
-                ..first
+                ..stated_origin
             },
             ReopenDecision::StartMigrated => RequestOrigin {
                 is_retry: true,
@@ -106,7 +112,8 @@
         Some(origin)
     }
 
-    /// The rejection of a request that the front itself does not admit.
+    /// The rejection of a request that the front does not admit because it shuts down or is overloaded; `None` if it
+    /// admits the request.
     fn shed_load(&mut self, call: Call, ready_at: Time) -> Option<Answer> {
         let reason = if self.draining {
             RejectReason::ShuttingDown
@@ -121,10 +128,10 @@
     }
 
     fn overload_reason(&mut self, call: Call, ready_at: Time) -> Option<RejectReason> {
-        let pending_of_player = self.waiting_of(call.player);
-        let decision = self
-            .overload
-            .admit(self.now, ready_at, self.waiting, pending_of_player);
+        let pending_of_player = self.waiting_count_of(call.player);
+        let decision =
+            self.overload
+                .admit(self.now, ready_at, self.waiting_count, pending_of_player);
         match decision {
             AdmissionDecision::Admit => None,
             AdmissionDecision::TooManyPending => Some(RejectReason::TooManyPending),
@@ -132,37 +139,42 @@
         }
     }
 
-    fn start_request(&mut self, opening: OpenCall, origin: RequestOrigin) {
+    fn start_request(&mut self, open_call: OpenCall, origin: RequestOrigin) {
         let OpenCall {
             call,
             open,
             received_at,
-        } = opening;
+        } = open_call;
         let id = self.next_request_id();
-        let limits = self.answer_limits(&open, received_at);
-        let session = SessionRequest {
+        let deadlines = self.answer_deadlines(&open, received_at);
+        let session_request = SessionRequest {
             is_retry: origin.is_retry,
             is_migration: origin.is_migration,
-            ..open.session_request(id, limits.deadline)
+            ..open.session_request(id, deadlines.answer_deadline)
         };
         self.keys.insert(SessionKey::from(&open), id);
         let request = Request::new(
-            session.clone(),
+            session_request.clone(),
             open.key,
             Some(call),
-            limits.viewer_deadline,
+            deadlines.viewer_deadline,
         );
         self.requests.insert(id, request);
-        self.waiting += 1;
+        self.waiting_count += 1;
         self.attach(id, call.player);
         self.timers
-            .set(limits.deadline, TimerEntry::AnswerDeadline(id));
-        self.emit(Event::SessionRequested(session));
+            .set(deadlines.answer_deadline, TimerEntry::AnswerDeadline(id));
+        self.emit(Event::SessionRequested(session_request));
         self.undecided_requests.push(id);
     }
 
-    /// The limits of an answer. The viewer's clock runs from when its message was read, not from when it is handled.
-    pub(super) fn answer_limits(&self, open: &OpenRequest, received_at: Time) -> AnswerLimits {
+    /// Computes the deadlines of an answer. The viewer's wait counts from when its message was read, not from when the
+    /// message is handled.
+    pub(super) fn answer_deadlines(
+        &self,
+        open: &OpenRequest,
+        received_at: Time,
+    ) -> AnswerDeadlines {
         let class_max_wait = self
             .config
             .max_wait
@@ -172,9 +184,9 @@
         let wait = open.max_wait.min(class_max_wait);
         let margin = self.config.answer_margin.min(wait / 2);
         let viewer_deadline = received_at + wait;
-        AnswerLimits {
+        AnswerDeadlines {
             viewer_deadline,
-            deadline: viewer_deadline - margin,
+            answer_deadline: viewer_deadline - margin,
         }
     }
 }
--- a/crates/front/src/core/players.rs
+++ b/crates/front/src/core/players.rs
@@ -1,4 +1,4 @@
-//! Players: which requests are attached to them, and what happens when they disconnect or leave.
+//! Attaching requests to players, and handling players that disconnect or leave.
 use super::request::RequestPhase;
 use super::Core;
 use crate::ids::PlayerId;
@@ -8,7 +8,7 @@
 use crankpaddle::{AttemptOutcome, Event, RequestId};
 
 impl Core {
-    /// A player withdraws its requests and ends its sessions.
+    /// Withdraws the pending requests of a player and ends its sessions.
     pub(super) fn leave(&mut self, player: PlayerId, out: &mut Vec<Output>) {
         self.recovery_queue.remove_player(player);
         let Some(leaving) = self.players.get(&player) else {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// A player's connection is closed: its requests continue until the resume window is over.
+    /// Handles the close of a player's connection. The player's requests continue until the resume window is over.
     pub(super) fn player_disconnected(&mut self, player: PlayerId) {
         self.recovery_queue.remove_player(player);
         let Some(disconnected) = self.players.remove(&player) else {
@@ -41,8 +41,9 @@
         }
     }
 
-    /// Ends a request if its player did not reattach within the resume window.
-    pub(super) fn resume_window_over(
+    /// Ends a request if its player did not reattach within the resume window. `disconnects` identifies the disconnect
+    /// that started the window.
+    pub(super) fn resume_window_expired(
         &mut self,
         id: RequestId,
         disconnects: u32,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Ends a request whose viewer has left: cancels its attempt if it waits, tears its session down if it plays.
+    /// Ends a request whose viewer has left. Cancels its attempt if it waits, and tears its session down if it plays.
     fn withdraw(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -66,7 +67,7 @@
                 self.withdraw_attempt(id, attempt, out);
                 self.end_waiting(id, RequestOutcome::Failed);
             }
-            // Its attempt, if it had one, has just ended, and the policy has not decided on it yet.
+            // The request is new or its attempt has just ended, and the policy has not decided on it yet.
             RequestPhase::Waiting(None) => {
                 self.emit(Event::ClientLeft(id));
                 self.end_waiting(id, RequestOutcome::Failed);
@@ -78,9 +79,11 @@
         }
     }
 
-    /// How many requests of the player wait for an answer.
-    pub(super) fn waiting_of(&self, player: PlayerId) -> usize {
-        self.players.get(&player).map_or(0, |player| player.waiting)
+    /// Number of requests of the player that wait for an answer.
+    pub(super) fn waiting_count_of(&self, player: PlayerId) -> usize {
+        self.players
+            .get(&player)
+            .map_or(0, |player| player.waiting_count)
     }
 
     /// Attaches a request to a player, and detaches it from the previous one.
@@ -96,10 +99,10 @@
         self.detach(id, previous, is_waiting);
         let attached = self.players.entry(player).or_default();
         attached.requests.insert(id);
-        attached.waiting += usize::from(is_waiting);
+        attached.waiting_count += usize::from(is_waiting);
     }
 
-    /// Removes a request from those of its player; `was_waiting`: the player counted it as waiting.
+    /// Removes a request from the list of its player. `was_waiting` states whether the player counted it as waiting.
     pub(super) fn detach(&mut self, id: RequestId, player: Option<PlayerId>, was_waiting: bool) {
         let Some(player_id) = player else {
             return;
@@ -108,7 +111,9 @@
             return;
         };
         player.requests.remove(&id);
-        player.waiting = player.waiting.saturating_sub(usize::from(was_waiting));
+        player.waiting_count = player
+            .waiting_count
+            .saturating_sub(usize::from(was_waiting));
         if player.requests.is_empty() {
             self.players.remove(&player_id);
         }
--- a/crates/front/src/core/recovered_keys.rs
+++ b/crates/front/src/core/recovered_keys.rs
@@ -1,4 +1,4 @@
-//! Keys and sessions of previous incarnations, as reconciliation with the servers finds them.
+//! Keys and sessions of previous incarnations that reconciliation with the servers found.
 use super::request::{Request, RequestPhase, SessionKey};
 use super::Core;
 use crate::input::OpenRequest;
@@ -8,12 +8,12 @@
 use crankpaddle::{ServerId, SessionRequest};
 
 impl Core {
-    /// It is not known yet whether a paid set-up ran under this key.
+    /// Records that it is not known yet whether a paid set-up ran under this key.
     pub(super) fn key_unresolved(&mut self, tenant: u16, key: String) {
         self.unresolved_keys.insert(SessionKey { tenant, key });
     }
 
-    /// The outcome of a paid key is known; `None`: it never ran.
+    /// Records the outcome of a paid key of a previous incarnation; `None` if its set-up never ran.
     pub(super) fn key_resolved(
         &mut self,
         tenant: u16,
@@ -26,7 +26,8 @@
         let known = self.keys.get(&key).copied();
         match (outcome, known) {
             (Some(outcome), None) => self.retain_recovered(key, class, outcome),
-            // A request that this incarnation has started under the key since has not ended, and stays.
+            // This has no effect on a request that the current incarnation has started under the key and that has not
+            // ended.
             (None, Some(id)) => self.remove_ended(id),
             (Some(_), Some(_)) | (None, None) => {}
         }
@@ -34,13 +35,13 @@
 
     fn retain_recovered(&mut self, key: SessionKey, class: u8, outcome: RequestOutcome) {
         let id = self.next_request_id();
-        let session = SessionRequest {
+        let session_request = SessionRequest {
             request: id,
             tenant: key.tenant,
             class,
             ..SessionRequest::default()
         };
-        let mut request = Request::new(session, key.key.clone(), None, self.now);
+        let mut request = Request::new(session_request, key.key.clone(), None, self.now);
         request.phase = RequestPhase::Ended(outcome);
         request.may_have_run = true;
         self.requests.insert(id, request);
@@ -48,7 +49,8 @@
         self.retain_or_remove(id);
     }
 
-    /// A server holds a session that a previous incarnation set up: it is tracked, and its viewer may reattach.
+    /// Tracks a session at a server that a previous incarnation set up. Its viewer may reattach to it for a limited
+    /// time.
     pub(super) fn session_found(
         &mut self,
         token: u64,
@@ -58,17 +60,17 @@
     ) {
         self.unresolved_keys.remove(&SessionKey::from(&open));
         let tracked = self.track_established(open, server);
-        if let Some(session) = &tracked {
+        if let Some(found) = &tracked {
             let resume_until = self.now + self.config.recovered_resume_window;
             let entry = TimerEntry::ResumeWindow {
-                request: session.request,
+                request: found.request,
                 disconnects: 0,
             };
             self.timers.set(resume_until, entry);
         }
         out.push(Output::FoundSessionHandled {
             token,
-            attempt: tracked.map(|session| session.attempt),
+            attempt: tracked.map(|found| found.attempt),
             server,
         });
     }
--- a/crates/front/src/core/request.rs
+++ b/crates/front/src/core/request.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// The attempt that waits for a server's answer, or that established the session.
+/// An attempt that waits for a server's answer, or that established the session.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutstandingAttempt {
     pub(super) id: AttemptId,
@@ -34,10 +34,11 @@
     pub(super) send_state: SendState,
 }
 
-/// The phase of a request, with the attempt that belongs to it.
+/// The phase of a request, with its outstanding attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestPhase {
-    /// No answer yet. Without an attempt only between the end of one and the policy's decision on it.
+    /// The request has no answer yet. It is without an attempt only until the policy decides on it, when it is new or
+    /// its last attempt has ended.
     Waiting(Option<OutstandingAttempt>),
     /// The session plays.
     Playing(OutstandingAttempt),
@@ -45,7 +46,7 @@
     Ended(RequestOutcome),
 }
 
-/// The end of a session as reported by its server.
+/// How an attempt or its session ended, with the server's load report.
 #[derive(Debug)]
 pub(super) struct SessionEnd {
     pub(super) outcome: AttemptOutcome,
@@ -53,47 +54,48 @@
 }
 
 impl SessionEnd {
-    /// Whether the session was cut before it ran to its end.
-    pub(super) fn was_cut(&self) -> bool {
+    /// Whether the session was interrupted before it ran to its end.
+    pub(super) fn was_interrupted(&self) -> bool {
         self.outcome != AttemptOutcome::Completed
     }
 }
 
 /// A request for a session, from its arrival until its key is no longer retained.
 pub(super) struct Request {
-    /// The request as the placement policy knows it.
-    pub(super) session: SessionRequest,
+    /// The request as the placement policy received it.
+    pub(super) session_request: SessionRequest,
     pub(super) key: String,
-    /// The call that waits for the answer.
+    /// The call that gets the answer; `None` if it was answered, or if its player disconnected.
     pub(super) call: Option<Call>,
+    /// The player that the request is attached to; `None` while it is disconnected, and once the request has ended.
     pub(super) player: Option<PlayerId>,
-    /// How often its player disconnected; a timer of an earlier disconnect no longer applies.
+    /// Number of times that its player disconnected. It identifies the resume timer of the latest disconnect.
     pub(super) disconnects: u32,
     pub(super) phase: RequestPhase,
-    /// Failure of the last attempt.
+    /// The failure of the last attempt, which the answer states if the request fails.
     pub(super) failure: FailureReason,
     /// Whether an attempt may have run.
     pub(super) may_have_run: bool,
     pub(super) rung: u8,
     pub(super) attempt_count: u8,
-    /// The session's end, received before the answer to its set-up.
+    /// The end of the session, if it was received before the answer to the set-up.
     pub(super) early_end: Option<SessionEnd>,
-    /// The session's updates, received before the answer to its set-up.
+    /// The updates of the session that were received before the answer to the set-up.
     pub(super) early_updates: Vec<SessionUpdate>,
-    /// When its viewer gives up.
+    /// When the viewer gives up.
     pub(super) viewer_deadline: Time,
 }
 
 impl Request {
-    /// A request that waits for its first attempt.
+    /// Creates a request that waits for its first attempt.
     pub(super) fn new(
-        session: SessionRequest,
+        session_request: SessionRequest,
         key: String,
         call: Option<Call>,
         viewer_deadline: Time,
     ) -> Request {
         Request {
-            session,
+            session_request,
             key,
             call,
             player: None,
@@ -109,7 +111,7 @@
         }
     }
 
-    /// The state of the request's key.
+    /// The state that decides how another open request with the same key is handled.
     pub(super) fn key_state(&self) -> KeyState {
         match self.phase {
             RequestPhase::Waiting(_) => KeyState::Waiting,
@@ -149,16 +151,16 @@
     }
 }
 
-/// A player with requests that wait or play.
+/// A player with attached requests.
 #[derive(Default)]
 pub(super) struct Player {
     pub(super) requests: BTreeSet<RequestId>,
-    /// How many of its requests wait for an answer.
-    pub(super) waiting: usize,
+    /// Number of its requests that wait for an answer.
+    pub(super) waiting_count: usize,
 }
 
 impl OpenRequest {
-    /// The request as the placement policy gets it.
+    /// Converts the request to the form that the placement policy receives.
     pub(super) fn session_request(&self, request: RequestId, deadline: Time) -> SessionRequest {
         SessionRequest {
             request,
--- a/crates/front/src/core/requests.rs
+++ b/crates/front/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of players for existing sessions: reattach, close, adopt.
+//! Inputs of players about existing sessions: reattaching, closing and adoption.
 use super::request::{OutstandingAttempt, Request, RequestPhase, SessionKey};
 use super::Core;
 use crate::ids::{AttemptId, Call, PlayerId};
@@ -7,14 +7,14 @@
 use crate::output::{Answer, Notification, Output, SessionEndReason};
 use crankpaddle::{AttemptOutcome, Event, RequestId, ServerId};
 
-/// A session that is tracked although this core did not set it up.
+/// The ids of a session that is tracked although this core did not set it up.
 pub(super) struct TrackedSession {
     pub(super) request: RequestId,
     pub(super) attempt: AttemptId,
 }
 
 impl Core {
-    /// Reattaches a player to the request that its key names.
+    /// Reattaches a player to the request with the given key.
     pub(super) fn resume(&mut self, call: Call, tenant: u16, key: String, out: &mut Vec<Output>) {
         let id = self.keys.get(&SessionKey { tenant, key }).copied();
         let request = id.and_then(|id| self.requests.get(&id));
@@ -31,7 +31,8 @@
         out.push(Output::Answer(call, answer));
     }
 
-    /// Attaches a call, of another connection or the same, to a request that waits or plays.
+    /// Attaches a call, from the same or another connection, to a request that waits or plays. The call that waited for
+    /// the answer so far, or the player of the session so far, is superseded.
     pub(super) fn reattach(&mut self, call: Call, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -65,7 +66,7 @@
         self.attach(id, call.player);
     }
 
-    /// Ends a session for its player.
+    /// Ends a session, if it belongs to the player of the call.
     pub(super) fn close(&mut self, call: Call, session: RequestId, out: &mut Vec<Output>) {
         let is_own = self
             .requests
@@ -86,7 +87,7 @@
         out.push(Output::Answer(call, answer));
     }
 
-    /// Adopts a session that already plays, for its player.
+    /// Tracks a session that already plays, and attaches it to its player.
     pub(super) fn adopt(
         &mut self,
         player: PlayerId,
@@ -105,10 +106,10 @@
         });
     }
 
-    /// Tracks a session that already plays at a server. `None`: its key is known already.
+    /// Tracks a session that already plays at a server. Returns `None` if its key is already known.
     ///
-    /// Why: a session may be reported twice, and so may one that this front set up itself. Tracked a second time, it
-    /// would be counted and ended twice.
+    /// A session may be reported twice, and so may one that this front set up itself. If it were tracked a second time,
+    /// it would be counted and ended twice.
     pub(super) fn track_established(
         &mut self,
         open: OpenRequest,
@@ -126,19 +127,19 @@
             send_state: SendState::Sent,
         };
         let viewer_deadline = self.now + open.max_wait;
-        let session = open.session_request(id, viewer_deadline);
-        let mut request = Request::new(session.clone(), open.key, None, viewer_deadline);
+        let session_request = open.session_request(id, viewer_deadline);
+        let mut request = Request::new(session_request.clone(), open.key, None, viewer_deadline);
         request.phase = RequestPhase::Playing(attempt);
         request.rung = self
-            .class_settings(session.class)
+            .class_settings(session_request.class)
             .map_or(0, |class| class.min_rung);
         request.attempt_count = 1;
         request.may_have_run = true;
         self.keys.insert(key, id);
         self.requests.insert(id, request);
         self.attempts.insert(attempt.id, id);
-        self.playing += 1;
-        self.emit(Event::SessionAdopted(session, server));
+        self.playing_count += 1;
+        self.emit(Event::SessionAdopted(session_request, server));
         Some(TrackedSession {
             request: id,
             attempt: attempt.id,
--- a/crates/front/src/core/sessions.rs
+++ b/crates/front/src/core/sessions.rs
@@ -1,4 +1,4 @@
-//! What servers report on playing sessions, and the rate caps on them.
+//! Reports of servers on playing sessions, and the rate caps of sessions.
 use super::request::{RequestPhase, SessionEnd};
 use super::Core;
 use crate::ids::{AttemptId, PlayerId};
@@ -8,19 +8,19 @@
 use crate::output::{Notification, Output, SessionEndReason};
 use crankpaddle::{AttemptOutcome, Event, LoadReport, RequestId, SessionUpdate};
 
-/// Most updates kept of a session whose set-up is not answered yet.
+/// Maximum number of retained updates of a session whose set-up is not answered yet; later ones are dropped.
 const MAX_EARLY_UPDATES: usize = 8;
 
 impl Core {
-    /// Passes a server's update of a session on to the policy.
+    /// Passes a server's update of a session to the policy.
     pub(super) fn session_updated(&mut self, attempt: AttemptId, update: SessionUpdate) {
         let Some((id, request)) = self.request_of(attempt) else {
             return;
         };
         match request.phase {
             RequestPhase::Waiting(_) => {
-                // Why: a server may report the load of its link right before its answer. If that update were dropped,
-                // the measurement that comes with each set-up would be lost, and the load of links be estimated
+                // A server may report the load of its link right before its answer. If that update were dropped, the
+                // measurement that comes with each set-up would be lost, and the load of links would be estimated
                 // wrongly.
                 if request.early_updates.len() < MAX_EARLY_UPDATES {
                     request.early_updates.push(update);
@@ -53,8 +53,8 @@
         };
         let end = SessionEnd { outcome, report };
         if request.is_waiting() {
-            // Why: the answer and the end come over two connections, or together. If an end that overtakes its answer
-            // were dropped, the session would count as playing for ever.
+            // The answer and the end arrive on two connections, or together. If an end that overtakes its answer were
+            // dropped, the session would count as playing forever.
             request.early_end = Some(end);
             return;
         }
@@ -88,7 +88,7 @@
         out.push(Output::Notify(player, id, notification));
     }
 
-    /// Limits the rungs of a playing session, or lifts that limit.
+    /// Sets or lifts the rate cap of a playing session.
     pub(super) fn rate_cap_changed(&mut self, attempt: AttemptId, cap: RateCap) {
         let Some((id, request)) = self.request_of(attempt) else {
             return;
@@ -98,7 +98,7 @@
         }
         let max_rung = match cap {
             RateCap::LowestRung => 0,
-            RateCap::None => request.session.max_rung,
+            RateCap::None => request.session_request.max_rung,
         };
         self.emit(Event::MaxRungChanged {
             request: id,
--- a/crates/front/src/core/set_up.rs
+++ b/crates/front/src/core/set_up.rs
@@ -9,8 +9,9 @@
 use std::time::Duration;
 
 impl Core {
-    /// Whether an outstanding attempt that was not sent yet may still be sent: to be called right before, since its
-    /// connection may have taken long to be established. Call it after [`Core::decide`], so that all inputs count.
+    /// Whether an outstanding attempt that was not sent yet may still be sent. The driver calls this right before it
+    /// sends, because establishing the connection may have taken long, and after [`Core::decide`], so that all inputs
+    /// are considered.
     #[must_use]
     pub fn may_send(&self, now: Time, attempt: AttemptId) -> bool {
         let Some(id) = self.attempts.get(&attempt) else {
@@ -25,7 +26,7 @@
         is_outstanding && now < request.viewer_deadline && self.policy.may_send(now, *id)
     }
 
-    /// Starts an attempt; without a `timeout` it may last until the request must be answered.
+    /// Starts an attempt. Without a `timeout` it may last until the request must be answered.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -49,7 +50,7 @@
         };
         let number = waiting.attempt_count;
         let order = waiting.begin_attempt(attempt);
-        let deadline = waiting.session.deadline;
+        let deadline = waiting.session_request.deadline;
         if let Some(at) = timeout_at {
             self.timers.set(at, TimerEntry::AttemptTimeout(id));
         }
@@ -64,21 +65,21 @@
         });
     }
 
-    /// The last check before an attempt is sent, whatever was decided: one outstanding attempt at a time, none for an
-    /// answered request, none for a paid one that may have run.
+    /// The last check before an attempt is sent, whatever the policy decided. A request has at most one outstanding
+    /// attempt, an answered request gets no attempt, and a paid request that may have run gets no further attempt.
     fn may_start_attempt(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
         };
-        let would_run_twice = request.may_have_run && self.is_paid(request.session.class);
+        let would_run_twice = request.may_have_run && self.is_paid(request.session_request.class);
         request.is_waiting()
             && request.waiting_attempt().is_none()
             && !would_run_twice
-            && self.now < request.session.deadline
+            && self.now < request.session_request.deadline
     }
 
-    /// Reports to the policy that its attempt was not sent, so that it does not count it as outstanding for ever. This
-    /// also happens where the viewer left between an input and the decision on it.
+    /// Reports to the policy that its attempt was not sent. Otherwise the policy would count the attempt as outstanding
+    /// forever. This also happens if the viewer left between an input and the decision on it.
     fn report_not_sent(&mut self, id: RequestId, server: ServerId) {
         let request = self.requests.get(&id);
         self.emit(Event::AttemptEnded {
@@ -93,15 +94,15 @@
 }
 
 impl Request {
-    /// Makes `attempt` the outstanding one; what its server is requested to set up.
+    /// Makes `attempt` the outstanding one, and returns the order for its server.
     fn begin_attempt(&mut self, attempt: OutstandingAttempt) -> SetUpOrder {
         self.attempt_count = self.attempt_count.saturating_add(1);
         self.phase = RequestPhase::Waiting(Some(attempt));
         SetUpOrder {
             key: self.key.clone(),
-            class: self.session.class,
-            tenant: self.session.tenant,
-            title: self.session.title,
+            class: self.session_request.class,
+            tenant: self.session_request.tenant,
+            title: self.session_request.title,
             rung: self.rung,
         }
     }
--- a/crates/front/src/core/shutdown.rs
+++ b/crates/front/src/core/shutdown.rs
@@ -7,11 +7,11 @@
 use crankpaddle::{AttemptOutcome, Event, RequestId};
 
 impl Core {
-    /// Answers all requests that wait and ends all sessions.
+    /// Answers all requests that wait, ends all sessions, and admits no new requests.
     pub(super) fn stop(&mut self, out: &mut Vec<Output>) {
         self.draining = true;
         for queued in self.recovery_queue.take_all() {
-            self.answer_queued(&queued.opening, out);
+            self.answer_queued(&queued.open_call, out);
         }
         let requests: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in requests {
@@ -41,7 +41,7 @@
         self.end_waiting(id, RequestOutcome::Failed);
     }
 
-    /// Stops a request whose attempt has ended, if it had one, before the policy has decided on it.
+    /// Stops a request that waits without an attempt, because the policy has not decided on it yet.
     fn stop_undecided(&mut self, id: RequestId, out: &mut Vec<Output>) {
         let may_have_run = self
             .requests
--- a/crates/front/src/core/startup_recovery.rs
+++ b/crates/front/src/core/startup_recovery.rs
@@ -1,10 +1,10 @@
-//! Staged recovery after a power loss: which requests wait for reconciliation, and how many fronts are assumed.
+//! Staged recovery after a power loss: the requests that wait for reconciliation, and the assumed number of fronts.
 use super::request::SessionKey;
 use super::Core;
 use crate::input::OpenRequest;
 use crate::jitter::jitter;
 use crate::output::{Answer, FailureReason, Output, RejectReason};
-use crate::overload::{retry_after, AdmissionDecision};
+use crate::overload::{retry_after_from_ns, AdmissionDecision};
 use crate::recovery_queue::{OpenCall, QueuedOpen};
 use crate::timers::TimerEntry;
 use crankpaddle::Event;
@@ -12,19 +12,21 @@
 use crankpaddle_time::nanoseconds;
 use std::time::Duration;
 
-/// How an open is handled while the front recovers.
+/// How an open request is handled while the front recovers.
 pub(super) enum RecoveryDecision {
-    /// It is served as usual.
+    /// The request is served as usual.
     Serve,
-    /// It waits in the recovery queue.
+    /// The request was added to the recovery queue.
     Queued,
-    /// It is answered at once.
+    /// The request gets this answer at once.
     Answered(Answer),
 }
 
 impl Core {
-    /// Starts with a staged recovery; to be called before the first input. `intents_complete`: all paid set-ups that
-    /// may have left were persisted; `previous_fronts`: how many fronts there were.
+    /// Starts a staged recovery. Must be called before the first input.
+    ///
+    /// `intents_complete` states whether the persisted state lists all paid set-ups that a previous incarnation may
+    /// have sent. `previous_fronts` is the number of fronts before the restart.
     pub fn begin_recovery(
         &mut self,
         staged_recovery: StagedRecovery,
@@ -39,19 +41,19 @@
         self.set_stage_timer();
     }
 
-    /// The stage of the recovery.
+    /// The current stage of the staged recovery.
     #[must_use]
     pub fn stage(&self) -> RecoveryStage {
         self.staged_recovery.stage()
     }
 
-    /// The staged recovery.
+    /// The state of the staged recovery, with the transitions that it made so far.
     #[must_use]
     pub fn recovery(&self) -> &StagedRecovery {
         &self.staged_recovery
     }
 
-    /// Number of requests that wait for reconciliation.
+    /// Number of requests in the recovery queue, which wait for reconciliation.
     #[must_use]
     pub fn queued_for_recovery(&self) -> usize {
         self.recovery_queue.len()
@@ -72,15 +74,15 @@
         self.advance_recovery(out);
     }
 
-    /// Computes the number of fronts that the policy divides the limits by.
+    /// Computes the number of fronts among which the policy divides the limits.
     ///
-    /// Peers and persisted state only ever increase it: it is never smaller than configured nor, until servers had time
-    /// to warm up, smaller than before the power loss.
+    /// Peers and persisted state can only increase the number. It is never smaller than configured nor, until the
+    /// servers had time to warm up, smaller than before the power loss.
     ///
-    /// Why: a fleet that has grown beyond its configuration exceeds each limit that is divided into quotas, first the
-    /// rate of set-ups at servers in slow start. And after a power loss, forty fronts come back as eleven that know of
-    /// each other, while the others follow one by one. The price: a peer that reports a wrong count makes this front
-    /// reject more and attempt less.
+    /// A fleet that has grown beyond its configuration would exceed each limit that is divided into quotas, first the
+    /// rate of set-ups at servers in slow start. After a power loss, forty fronts may come back as eleven that know of
+    /// each other, while the others follow one by one. The disadvantage is that a peer that reports a wrong count makes
+    /// this front reject more requests and start fewer attempts.
     fn update_replica_count(&mut self) {
         let known = self.known_fronts.max(self.settings.replica_count);
         let replica_count = if self.stage() < RecoveryStage::Normal {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Advances the staged recovery as far as it is due, and reports the stages that it reached.
+    /// Advances the staged recovery to the stages that are due, and reports each stage that it reached.
     pub(super) fn advance_recovery(&mut self, out: &mut Vec<Output>) {
         self.staged_recovery.expire(self.now);
         self.set_stage_timer();
@@ -113,42 +115,44 @@
         }
     }
 
-    /// Serves the queued requests, once everything that reconciliation found was handed in.
+    /// Serves the queued requests, once everything that reconciliation found was passed to the core.
     pub(super) fn serve_queued(&mut self, out: &mut Vec<Output>) {
         if self.stage() < RecoveryStage::PaidOnly {
             return;
         }
         for queued in self.recovery_queue.take_all() {
-            self.open(queued.opening, self.now, out);
+            self.open(queued.open_call, self.now, out);
         }
     }
 
-    /// Decides on an open while the front recovers.
-    pub(super) fn admit_during_recovery(&mut self, opening: &OpenCall) -> RecoveryDecision {
-        let is_paid = self.is_paid(opening.open.class);
+    /// Decides how to handle an open request while the front recovers.
+    pub(super) fn admit_during_recovery(&mut self, open_call: &OpenCall) -> RecoveryDecision {
+        let is_paid = self.is_paid(open_call.open.class);
         match self.staged_recovery.admit(self.now, is_paid) {
             RecoveryAdmission::Serve => RecoveryDecision::Serve,
-            RecoveryAdmission::Queue => self.queue_for_recovery(opening),
+            RecoveryAdmission::Queue => self.queue_for_recovery(open_call),
             RecoveryAdmission::RetryLater { after, over } => {
-                if self.keys.contains_key(&SessionKey::from(&opening.open)) {
-                    // What plays is reattached, and what ran is answered as such.
+                if self.keys.contains_key(&SessionKey::from(&open_call.open)) {
+                    // Its key is known: a playing session is reattached, and an ended one is answered by its outcome.
                     return RecoveryDecision::Serve;
                 }
-                let jitter = jitter(opening.call.player.0.rotate_left(32) ^ opening.call.number);
+                let jitter =
+                    jitter(open_call.call.player.0.rotate_left(32) ^ open_call.call.number);
                 let retry_after_ns = nanoseconds(after)
                     .saturating_add((nanoseconds(over) as f64 * jitter) as u64)
                     .min(self.settings.max_retry_after);
-                let answer = self.not_served(&opening.open, retry_after(retry_after_ns));
+                let answer =
+                    self.unserved_answer(&open_call.open, retry_after_from_ns(retry_after_ns));
                 RecoveryDecision::Answered(answer)
             }
         }
     }
 
-    fn queue_for_recovery(&mut self, opening: &OpenCall) -> RecoveryDecision {
-        let call = opening.call;
+    fn queue_for_recovery(&mut self, open_call: &OpenCall) -> RecoveryDecision {
+        let call = open_call.call;
         let pending = self.waiting();
         let pending_of_player =
-            self.recovery_queue.count_of(call.player) + self.waiting_of(call.player);
+            self.recovery_queue.count_of(call.player) + self.waiting_count_of(call.player);
         let admission = self
             .overload
             .admit(self.now, self.now, pending, pending_of_player);
@@ -159,22 +163,25 @@
             };
             return RecoveryDecision::Answered(answer);
         }
-        let limits = self.answer_limits(&opening.open, opening.received_at);
+        let deadlines = self.answer_deadlines(&open_call.open, open_call.received_at);
         self.recovery_queue.push(QueuedOpen {
-            opening: opening.clone(),
-            deadline: limits.deadline,
+            open_call: open_call.clone(),
+            deadline: deadlines.answer_deadline,
         });
-        self.timers.set(limits.deadline, TimerEntry::RecoveryQueue);
+        self.timers
+            .set(deadlines.answer_deadline, TimerEntry::RecoveryQueue);
         RecoveryDecision::Queued
     }
 
-    /// The answer to a request that could not be served in time. Why not always a rejection: it states that nothing
-    /// ran, and a previous incarnation may have run this key. The price: where the disk was lost, a new paid request is
-    /// answered as failed.
-    fn not_served(&self, open: &OpenRequest, retry_after: Option<Duration>) -> Answer {
-        let is_known =
+    /// The answer to a request that is not served during the recovery.
+    ///
+    /// A rejection would state that nothing ran, but a previous incarnation may have run a paid request with this key.
+    /// Such a request is answered as failed. The disadvantage is that after the loss of the disk each new paid request
+    /// is answered as failed.
+    fn unserved_answer(&self, open: &OpenRequest, retry_after: Option<Duration>) -> Answer {
+        let is_known_not_to_have_run =
             self.intents_complete && !self.unresolved_keys.contains(&SessionKey::from(open));
-        if self.is_paid(open.class) && !is_known {
+        if self.is_paid(open.class) && !is_known_not_to_have_run {
             Answer::Failed(FailureReason::NoAnswer)
         } else {
             Answer::Rejected {
@@ -185,19 +192,19 @@
     }
 
     /// Answers a request that left the recovery queue without being served.
-    pub(super) fn answer_queued(&self, opening: &OpenCall, out: &mut Vec<Output>) {
-        let call = opening.call;
+    pub(super) fn answer_queued(&self, open_call: &OpenCall, out: &mut Vec<Output>) {
+        let call = open_call.call;
         let retry_after = self
             .overload
             .retry_after(jitter(call.player.0 ^ call.number));
-        let answer = self.not_served(&opening.open, retry_after);
+        let answer = self.unserved_answer(&open_call.open, retry_after);
         out.push(Output::Answer(call, answer));
     }
 
-    /// Answers the queued requests that can wait no longer.
+    /// Answers the queued requests whose deadlines have come.
     pub(super) fn answer_due_in_queue(&mut self, out: &mut Vec<Output>) {
         for queued in self.recovery_queue.take_due(self.now) {
-            self.answer_queued(&queued.opening, out);
+            self.answer_queued(&queued.open_call, out);
         }
     }
 }
--- a/crates/front/src/input.rs
+++ b/crates/front/src/input.rs
@@ -10,7 +10,8 @@
 /// A player's request for a session, with all names resolved to indexes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OpenRequest {
-    /// Idempotency key chosen by the player, the same over its reconnects: it names one session.
+    /// Idempotency key chosen by the player. It names one session, and the player sends the same key after a
+    /// reconnect.
     pub key: String,
     /// Identifies the viewer; the same in all requests of one viewer.
     pub viewer: u64,
@@ -18,7 +19,7 @@
     pub class: u8,
     /// Tenant, an index into the settings' tenants.
     pub tenant: u16,
-    /// Title.
+    /// Number of the requested title.
     pub title: u64,
     /// First cell that holds the title.
     pub first_cell: u32,
@@ -26,9 +27,10 @@
     pub cell_count: u32,
     /// Highest rung that the player can use.
     pub max_rung: u8,
-    /// How long the viewer waits from when the request was read; limited by the class's own bound.
+    /// How long the viewer waits, counted from when the request was read. The core limits it to
+    /// [`CoreConfig::max_wait`](crate::CoreConfig::max_wait) of the class.
     pub max_wait: Duration,
-    /// Expected viewing time.
+    /// Expected viewing time; `None` if the player did not state it.
     pub duration_hint: Option<Duration>,
     /// Whether the player states that this is a retry.
     pub is_retry: bool,
@@ -39,27 +41,27 @@
 /// The result of a set-up at a server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SetUpResult {
-    /// The session plays; the load report that came with the answer, empty if there was none.
+    /// The session plays. The load report is the one that came with the answer, empty if there was none.
     Started(LoadReport),
-    /// The session was not established.
+    /// The session was not established; the outcome states whether the attempt may have run.
     Ended(AttemptOutcome, LoadReport),
 }
 
-/// Whether the front sends an attempt to its server at once.
+/// Whether the front has sent an attempt to its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendState {
-    /// Not yet: no server has received it.
+    /// The front defers it, so no server has received it.
     Deferred,
-    /// It was sent or is about to be, so it may run.
+    /// It was sent or is about to be sent, so it may run.
     Sent,
 }
 
 /// Whether the rungs of a session are limited beyond what its viewer can use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateCap {
-    /// They are not.
+    /// The session may use each rung up to the highest that its viewer can use.
     None,
-    /// It plays at its lowest rung only.
+    /// The session may use the lowest rung only.
     LowestRung,
 }
 
@@ -91,8 +93,8 @@
         /// The session.
         session: RequestId,
     },
-    /// A session that was established before this front started plays at a server; no call waits for an answer.
-    /// Answered by [`Output::SessionAdopted`](crate::Output::SessionAdopted) unless its key is already known.
+    /// A session that was established before this front started plays at a server, and no call waits for an answer.
+    /// Handled by [`Output::SessionAdopted`](crate::Output::SessionAdopted) unless its key is already known.
     Adopt {
         /// The player that the session belongs to.
         player: PlayerId,
@@ -105,12 +107,12 @@
     Leave(PlayerId),
     /// A player's connection is closed.
     PlayerDisconnected(PlayerId),
-    /// An endpoint list, full or incremental.
+    /// A full or incremental endpoint list was received.
     EndpointList(EndpointListKind, Vec<Endpoint>),
-    /// A set-up has a result.
+    /// A server answered a set-up, or the set-up ended without an answer.
     SetUpCompleted(AttemptId, SetUpResult),
-    /// The front itself defers sending an attempt, or sends a deferred one now. An attempt without this input is sent
-    /// at once.
+    /// The front defers sending an attempt, or sends a deferred one now. An attempt for which this input never comes
+    /// counts as sent from the start.
     SendStateChanged(AttemptId, SendState),
     /// A server reported a change of a playing session.
     SessionUpdated(AttemptId, SessionUpdate),
@@ -122,23 +124,24 @@
         zone: u8,
         /// The class.
         class: u8,
-        /// The policy in force from now on.
+        /// The policy that applies from now on.
         policy: CrossZonePolicy,
     },
     /// The rate cap of a playing session was set or lifted.
     RateCapChanged(AttemptId, RateCap),
-    /// A health check has a result.
+    /// A health check ended; the outcome states whether the server answered.
     HealthCheckCompleted(ServerId, AttemptOutcome, LoadReport),
-    /// Number of known fronts in the fleet, including this one and those that may only be unreachable.
+    /// The number of known fronts in the fleet changed. It includes this front and fronts that do not respond but may
+    /// be running.
     FleetSizeChanged(u32),
     /// The endpoint list is known, so servers can be polled for the set-ups of the previous incarnation.
     EndpointsKnown,
-    /// Every listed server has reported its sessions, or is unreachable.
+    /// Each listed server has reported its sessions or is unreachable.
     ReconciliationCompleted,
-    /// All sessions and keys found by reconciliation were handed in after
-    /// [`Output::StageReached`](crate::Output::StageReached), so the queued requests can be served.
+    /// All sessions and keys that reconciliation found were passed to the core, so it can serve the queued requests.
+    /// Sent after [`Output::StageReached`](crate::Output::StageReached).
     ServiceResumed,
-    /// A paid set-up of a previous incarnation may have run under this key.
+    /// A paid set-up of a previous incarnation may have run under this key. Its outcome is not known yet.
     KeyUnresolved {
         /// The tenant of the key.
         tenant: u16,
@@ -153,13 +156,13 @@
         key: String,
         /// The class of the request.
         class: u8,
-        /// The outcome of the request; `None`: it never ran.
+        /// The outcome of the request; `None` if it never ran.
         outcome: Option<RequestOutcome>,
     },
-    /// A server holds a session that a previous incarnation set up. Answered by
+    /// A server holds a session that a previous incarnation set up. Handled by
     /// [`Output::FoundSessionHandled`](crate::Output::FoundSessionHandled).
     SessionFound {
-        /// Identifies this session in the answer.
+        /// Chosen by the driver; repeated in the output that handles the session.
         token: u64,
         /// The request that the session was set up for.
         open: OpenRequest,
@@ -168,6 +171,6 @@
     },
     /// Accept no new sessions from now on.
     Drain,
-    /// End all sessions and answer all pending requests: the front stops.
+    /// End all sessions and answer all pending requests, since the front shuts down.
     Stop,
 }
--- a/crates/front/src/jitter.rs
+++ b/crates/front/src/jitter.rs
@@ -1,7 +1,8 @@
 //! Reproducible pseudo-random numbers.
 
-/// A number in 0..1 derived from `seed` (splitmix64). It spreads the Retry-After of clients that are rejected together,
-/// and serves as a random source that repeats exactly in each run.
+/// A number from 0 (inclusive) to 1 (exclusive) that depends only on `seed`, computed by one step of SplitMix64. It
+/// spreads the Retry-After of players that are rejected together, and serves as a source of pseudo-random numbers that
+/// are the same in each run.
 #[must_use]
 pub fn jitter(seed: u64) -> f64 {
     let mut mixed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/crates/front/src/keys.rs
+++ b/crates/front/src/keys.rs
@@ -1,36 +1,36 @@
 //! The meaning of an idempotency key that a player sends again.
 //!
-//! A key names one session: a player that lost its connection sends the key again and gets its pending request, its
-//! session or the earlier answer, but never a second set-up. Why: for a paid class a second set-up is a second bill.
-//! The price: a player that uses one key for all sessions cannot buy another one until the key's retention is over;
-//! the answer states this.
+//! A key names one session. A player that lost its connection sends the key again and gets its pending request, its
+//! session or the earlier answer. A second set-up never follows for a paid class once the first one may have run,
+//! because the viewer would be billed twice. The disadvantage is that a player that uses one key for all its sessions
+//! cannot buy another one until the retention of the key is over; the answer states this.
 use crankpaddle::{AttemptOutcome, Idempotency};
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was rejected: no attempt ever ran.
+    /// The request was rejected. No attempt of it ran.
     Rejected,
-    /// It failed: an attempt may have run.
+    /// The request failed. An attempt of it may have run.
     Failed,
-    /// It was established and has ended.
+    /// The session was established and has ended.
     Played,
-    /// The front ended it at its server and notified its viewer to open it again.
+    /// The front ended the session at its server and notified its viewer to open it again.
     Migrated,
 }
 
 /// The state of the request that a key names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyState {
-    /// It has no answer yet.
+    /// The request has no answer yet.
     Waiting,
-    /// Its session plays.
+    /// The session plays.
     Playing,
-    /// It has ended.
+    /// The request or its session has ended.
     Ended(RequestOutcome),
 }
 
-/// How to handle another open with a known key.
+/// How to handle another open request with a known key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReopenDecision {
     /// Attach to the pending request.
@@ -41,14 +41,15 @@
     StartNew,
     /// Start a new request for a session that the front migrated.
     StartMigrated,
-    /// Repeat the earlier answer: it failed, perhaps with an effect.
+    /// Repeat the earlier answer, which is a failure that may have had an effect.
     FailedBefore,
     /// Answer that the key's paid session has ended.
     KeySpent,
 }
 
-/// Decides on another open with a known key. Without a configured class (`None`) the set-up counts as paid.
-pub(crate) fn reopen(state: KeyState, idempotency: Option<Idempotency>) -> ReopenDecision {
+/// Decides how to handle another open request with a known key. A class that is not configured has no `idempotency`
+/// and counts as paid.
+pub(crate) fn decide_reopen(state: KeyState, idempotency: Option<Idempotency>) -> ReopenDecision {
     let is_repeatable = matches!(idempotency, Some(Idempotency::Idempotent));
     match state {
         KeyState::Waiting => ReopenDecision::Join,
@@ -62,7 +63,7 @@
     }
 }
 
-/// Whether an outcome proves that the attempt never ran.
+/// Whether an outcome proves that the attempt never ran, so that a retry cannot set the session up twice.
 #[must_use]
 pub fn never_ran(outcome: AttemptOutcome) -> bool {
     matches!(
--- a/crates/front/src/keys/tests.rs
+++ b/crates/front/src/keys/tests.rs
@@ -1,4 +1,4 @@
-//! How another open with a known key is handled.
+//! Decisions on open requests with a known key.
 use super::*;
 
 #[test]
@@ -10,7 +10,7 @@
         KeyState::Ended(RequestOutcome::Played),
     ] {
         for idempotency in [None, Some(Idempotency::AtMostOnce)] {
-            let decision = reopen(state, idempotency);
+            let decision = decide_reopen(state, idempotency);
             assert!(
                 !matches!(
                     decision,
@@ -21,7 +21,7 @@
         }
     }
     assert_eq!(
-        reopen(
+        decide_reopen(
             KeyState::Ended(RequestOutcome::Rejected),
             Some(Idempotency::AtMostOnce)
         ),
@@ -37,12 +37,12 @@
         RequestOutcome::Played,
     ] {
         assert_eq!(
-            reopen(KeyState::Ended(outcome), Some(Idempotency::Idempotent)),
+            decide_reopen(KeyState::Ended(outcome), Some(Idempotency::Idempotent)),
             ReopenDecision::StartNew
         );
     }
     assert_eq!(
-        reopen(KeyState::Waiting, Some(Idempotency::Idempotent)),
+        decide_reopen(KeyState::Waiting, Some(Idempotency::Idempotent)),
         ReopenDecision::Join
     );
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,16 +1,17 @@
-//! A session front without I/O: inputs and the time go in, outputs that the driver carries out come back.
+//! The logic of a session front as a state machine without I/O.
 //!
-//! [`Core`] gives each request exactly one answer before its viewer gives up. It hosts the placement policy
-//! ([`crankpaddle::PlacementPolicy`]), which chooses servers and rungs; the core owns what the policy does not treat:
-//! answer deadlines, attempts and their time-outs, players that disconnect and reattach, idempotency keys, load
-//! shedding of the front itself and its shutdown. It knows no protocol: the daemon and the front node drive the same
-//! core.
+//! [`Core`] answers each request exactly once, before its viewer gives up. It runs the placement policy
+//! ([`crankpaddle::PlacementPolicy`]), which chooses servers and rungs. The core handles everything else: answer
+//! deadlines, attempts and their time-outs, players that disconnect and reattach, idempotency keys, load shedding of
+//! the front itself and its shutdown. It is independent of the protocols, so the daemon and the front node use the
+//! same core.
 //!
-//! To drive it, as any state machine without I/O:
+//! The code that drives a core:
 //!
-//! - call [`Core::handle`] for each [`Input`], and [`Core::expire`] when [`Core::next_expiry`] has passed;
-//! - carry out the [`Output`]s that each call adds, in order;
-//! - time is [`Time`], nanoseconds of a monotonic clock; the same inputs give the same outputs.
+//! - calls [`Core::handle`] for each [`Input`], and [`Core::expire`] when [`Core::next_expiry`] has passed;
+//! - carries out the [`Output`]s that each call appends, in order;
+//! - passes the current [`Time`] to each call, in nanoseconds of a monotonic clock. The same inputs at the same times
+//!   give the same outputs.
 //!
 //! Modules: `core` is the state machine, [`keys`] defines what a repeated idempotency key means, `overload` decides
 //! when the front itself sheds load, `recovery_queue` holds the requests that wait for reconciliation, `timers` orders
--- a/crates/front/src/log_text.rs
+++ b/crates/front/src/log_text.rs
@@ -1,18 +1,19 @@
-//! The text of answers and notifications in log lines.
+//! The text of answers and notifications in log lines. It contains the Retry-After in nanoseconds, whereas the
+//! derived `Debug` text would use a unit that depends on its length.
 use crate::output::{Answer, Notification};
 use crankpaddle_time::nanoseconds;
 use std::fmt;
 use std::time::Duration;
 
 impl Answer {
-    /// The answer as log lines show it: a Retry-After in nanoseconds, 0 for none.
+    /// The text of the answer in log lines, with its Retry-After in nanoseconds (0 for none).
     pub fn log_text(&self) -> impl fmt::Debug + '_ {
         AnswerLogText(self)
     }
 }
 
 impl Notification {
-    /// The notification as log lines show it: a Retry-After in nanoseconds, 0 for none.
+    /// The text of the notification in log lines, with its Retry-After in nanoseconds (0 for none).
     pub fn log_text(&self) -> impl fmt::Debug + '_ {
         NotificationLogText(self)
     }
--- a/crates/front/src/log_text/tests.rs
+++ b/crates/front/src/log_text/tests.rs
@@ -1,9 +1,9 @@
-//! The text that log lines show, which tools may search for.
+//! Tools may search log lines for these texts, so the tests compare them literally.
 use super::*;
 use crate::output::{FailureReason, RejectReason, SessionEndReason};
 
-fn text(shown: impl fmt::Debug) -> String {
-    format!("{shown:?}")
+fn text(logged: impl fmt::Debug) -> String {
+    format!("{logged:?}")
 }
 
 #[test]
--- a/crates/front/src/output.rs
+++ b/crates/front/src/output.rs
@@ -1,4 +1,4 @@
-//! The outputs of a core: answers, notifications and orders that its driver carries out.
+//! The outputs of a core: answers, notifications and actions that its driver carries out.
 use crate::ids::{AttemptId, Call, PlayerId};
 use crankpaddle::{RequestId, ServerId, Time};
 use crankpaddle_recovery::{RecoveryStage, StageEvidence};
@@ -7,13 +7,13 @@
 /// Why a request was rejected. No attempt of it ran, so it may be sent again to any front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// No server that holds the title has capacity or may be used now.
+    /// Each server that holds the title is at capacity or must not be used now.
     NoCapacity,
-    /// Its own zone has no capacity, and its class may not be served from another zone now.
+    /// The request's own zone has no capacity, and its class may not be served from another zone now.
     CrossZoneForbidden,
     /// The front itself is overloaded and sheds load.
     Overload,
-    /// Too many requests are pending, in all or of this player.
+    /// Too many requests are pending, in total or for this player.
     TooManyPending,
     /// The front is shutting down.
     ShuttingDown,
@@ -21,7 +21,7 @@
     Recovering,
 }
 
-/// Why a request failed: an attempt may have run.
+/// Why a request failed. An attempt of it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
     /// A server did not answer an attempt in time.
@@ -32,7 +32,7 @@
     ConnectionLost,
     /// The attempt was cancelled, for instance because its player left.
     Cancelled,
-    /// The key names a paid session that has ended; a new session needs a new key.
+    /// The key names a paid session that has ended. A new session needs a new key.
     KeySpent,
 }
 
@@ -50,14 +50,14 @@
         /// The rung in force.
         rung: u8,
     },
-    /// Rejected: none of it ran, and the request may be sent again to any front.
+    /// The request was rejected. No attempt of it ran, so it may be sent again to any front.
     Rejected {
-        /// Why.
+        /// Why the request was rejected.
         reason: RejectReason,
-        /// How long the viewer is asked to wait before its next request; `None`: no advice.
+        /// How long the viewer is asked to wait before its next request; `None` gives no advice.
         retry_after: Option<Duration>,
     },
-    /// Failed; the set-up may have had an effect.
+    /// The request failed. Its set-up may have had an effect at a server.
     Failed(FailureReason),
     /// Another connection reattached to the session with its key and gets the answer.
     Superseded,
@@ -70,16 +70,16 @@
 /// A message to a player that is not the answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notification {
-    /// The rung of its session changes.
+    /// The session continues at this rung.
     RungChanged(u8),
-    /// Its session has ended.
+    /// The session has ended.
     SessionEnded {
-        /// Why.
+        /// Why the session ended.
         reason: SessionEndReason,
-        /// How long the viewer is asked to wait before its next request; `None`: no advice.
+        /// How long the viewer is asked to wait before its next request; `None` gives no advice.
         retry_after: Option<Duration>,
     },
-    /// Its session migrates: the player opens it again with the same key.
+    /// The session migrates. The player has to open it again with the same key.
     Migrate,
 }
 
@@ -96,7 +96,7 @@
     ShuttingDown,
 }
 
-/// What a server is requested to set up.
+/// The session that a server is requested to set up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUpOrder {
     /// The idempotency key that the player chose for the session.
@@ -105,7 +105,7 @@
     pub class: u8,
     /// Tenant, an index into the settings' tenants.
     pub tenant: u16,
-    /// Title.
+    /// Number of the title to play.
     pub title: u64,
     /// The rung to start at.
     pub rung: u8,
@@ -114,18 +114,18 @@
 /// An action for the driver of a core, which carries the outputs out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Answer a call; its only answer.
+    /// Answer a call. Each call gets exactly one answer.
     Answer(Call, Answer),
-    /// Notify a player.
+    /// Send a notification about a session to its player.
     Notify(PlayerId, RequestId, Notification),
-    /// Send one attempt to a server. Answered by [`Input::SetUpCompleted`](crate::Input::SetUpCompleted) unless it is
-    /// abandoned first.
+    /// Send one attempt to a server. The driver reports the result by
+    /// [`Input::SetUpCompleted`](crate::Input::SetUpCompleted) unless the attempt is abandoned first.
     StartSetUp {
         /// The attempt.
         attempt: AttemptId,
-        /// Its request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Its number within the request, from 0.
+        /// Number of the attempt within its request, from 0.
         number: u8,
         /// The server.
         server: ServerId,
@@ -138,22 +138,22 @@
     SessionAdopted {
         /// The player that the session belongs to.
         player: PlayerId,
-        /// Its attempt.
+        /// Identifies the session at its server from now on.
         attempt: AttemptId,
         /// The server where it plays.
         server: ServerId,
     },
-    /// A session found at a server is tracked as this attempt from now on; `None`: its key names another session, and
-    /// this one has to be ended.
+    /// A session that a previous incarnation set up is tracked from now on, or has to be ended.
     FoundSessionHandled {
         /// The token of [`Input::SessionFound`](crate::Input::SessionFound).
         token: u64,
-        /// Its attempt.
+        /// Identifies the session at its server from now on. `None` if the core already knows the key, so that this
+        /// session has to be ended.
         attempt: Option<AttemptId>,
         /// The server where it plays.
         server: ServerId,
     },
-    /// The staged recovery reached a stage.
+    /// The staged recovery reached a stage, on the given evidence.
     StageReached(RecoveryStage, StageEvidence),
     /// Stop waiting for an attempt and make sure that the server drops what it may have set up.
     AbandonAttempt(AttemptId, ServerId),
@@ -161,12 +161,13 @@
     SetRung(AttemptId, ServerId, u8),
     /// End a playing session at its server.
     TearDown(AttemptId, ServerId),
-    /// Check a server's health; answered by [`Input::HealthCheckCompleted`](crate::Input::HealthCheckCompleted).
+    /// Check a server's health. The driver reports the result by
+    /// [`Input::HealthCheckCompleted`](crate::Input::HealthCheckCompleted).
     HealthCheck(ServerId),
     /// Subscribe to changes of the endpoint list.
     SubscribeEndpoints,
     /// Fetch the full endpoint list once.
     FetchEndpoints,
-    /// A line of the placement policy for the log.
+    /// Write a line of the placement policy to the log.
     Log(String),
 }
--- a/crates/front/src/overload.rs
+++ b/crates/front/src/overload.rs
@@ -1,35 +1,39 @@
-//! Load shedding of the front itself: when more requests wait than it can answer in time.
+//! Load shedding of the front itself, when more requests wait than it can answer in time.
 //!
-//! The placement policy knows whether servers have capacity; it does not know that this process falls behind. Two
-//! signals are watched. The number of pending requests, in all and for each player, is bounded by the settings. The
-//! time that a message waited between socket and core is judged as CoDel judges a queue (RFC 8289): a burst that drains
-//! is harmless, so the front sheds load only when the *least* wait seen within an interval stays over the target, until
-//! one message passes quickly. Why: a front that admits everything answers everything late, and viewers who gave up
-//! retry. The price: for one interval after a stall it rejects requests that it could have served.
+//! The placement policy knows whether servers have capacity, but it does not know whether this process falls behind.
+//! The front rejects requests on two conditions. The first is the number of pending requests, in total and for each
+//! player, which the settings bound. The second is the time that messages wait between the socket and the core, which
+//! is assessed in the manner of CoDel (RFC 8289). A burst that drains is harmless, so the front sheds load only while
+//! the shortest wait within an interval exceeds the target, until one message passes quickly.
+//!
+//! A front that admitted everything would answer everything late, and the viewers that gave up would retry. The
+//! disadvantage of shedding is that for one interval after a stall the front rejects requests that it could have
+//! served.
 use crankpaddle::Time;
 use crankpaddle_time::nanoseconds;
 use std::time::Duration;
 
-/// Waits are judged over this time. RFC 8289 asks for an interval of about the slowest usual round trip.
-const INTERVAL: Duration = Duration::from_millis(100);
-/// The least wait may be this fraction (reciprocal) of the shortest latency objective: a longer wait in the front's own
-/// queue leaves the servers too little time.
+/// The shortest wait is determined over this time. RFC 8289 recommends an interval of about the longest usual round
+/// trip.
+const MEASUREMENT_INTERVAL: Duration = Duration::from_millis(100);
+/// The target for the shortest wait is the shortest latency objective divided by this number. A longer wait in the
+/// front's own queue would leave the servers too little time.
 const TARGET_DIVISOR: u32 = 16;
-/// Lower bound of that target.
+/// Lower bound of the target, so that it is not zero.
 const MIN_TARGET: Duration = Duration::from_nanos(1);
-/// The Retry-After grows by this fraction (reciprocal) of the longest one with each interval of overload.
+/// Number of steps in which the Retry-After grows to its maximum, one for each interval of overload.
 const RETRY_AFTER_STEPS: u64 = 4;
 
 /// The limits given by the settings.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OverloadLimits {
-    /// Pending requests in all.
+    /// Maximum number of pending requests in total.
     pub max_pending: usize,
-    /// Pending requests of one player's connection.
+    /// Maximum number of pending requests of one player.
     pub max_pending_per_player: usize,
-    /// Shortest latency objective of a class.
+    /// Shortest latency objective of all classes.
     pub latency_objective: Duration,
-    /// Longest Retry-After that players follow.
+    /// Maximum of the Retry-After.
     pub max_retry_after: Duration,
 }
 
@@ -40,19 +44,19 @@
     Admit,
     /// Too many requests are pending.
     TooManyPending,
-    /// The front falls behind.
+    /// The front falls behind and sheds load.
     Overloaded,
 }
 
-/// Detects that the front falls behind.
+/// Detects that the front falls behind, by the number of pending requests and by how long messages waited.
 #[derive(Clone, Debug)]
 pub(crate) struct OverloadDetector {
     limits: OverloadLimits,
-    /// Least wait seen in the current interval.
-    min_wait: Duration,
+    /// Shortest wait within the current interval.
+    shortest_wait: Duration,
     /// `None` before the first request.
     interval_ends_at: Option<Time>,
-    /// Consecutive intervals over the target.
+    /// Number of consecutive intervals whose shortest wait exceeded the target.
     overloaded_intervals: u64,
 }
 
@@ -60,14 +64,14 @@
     pub(crate) fn new(limits: OverloadLimits) -> OverloadDetector {
         OverloadDetector {
             limits,
-            min_wait: Duration::MAX,
+            shortest_wait: Duration::MAX,
             interval_ends_at: None,
             overloaded_intervals: 0,
         }
     }
 
-    /// Decides on a request that was read at `received_at`, with `pending` requests in all and `pending_of_player` of
-    /// its own connection.
+    /// Decides whether to admit a request that was read at `received_at`, while `pending` requests are pending in total
+    /// and `pending_of_player` of the same player.
     pub(crate) fn admit(
         &mut self,
         now: Time,
@@ -87,12 +91,12 @@
         }
     }
 
-    /// Retry-After of a rejected player; `jitter` in 0..1 spreads players that are rejected together.
+    /// The Retry-After of a rejected player. `jitter`, from 0 to 1, spreads players that are rejected together.
     pub(crate) fn retry_after(&self, jitter: f64) -> Option<Duration> {
-        let longest = nanoseconds(self.limits.max_retry_after) as f64;
+        let max_ns = nanoseconds(self.limits.max_retry_after) as f64;
         let steps = (1 + self.overloaded_intervals).min(RETRY_AFTER_STEPS);
-        let span = (longest * steps as f64 / RETRY_AFTER_STEPS as f64).min(longest);
-        retry_after((span * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as u64)
+        let upper_ns = (max_ns * steps as f64 / RETRY_AFTER_STEPS as f64).min(max_ns);
+        retry_after_from_ns((upper_ns * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as u64)
     }
 
     fn target(&self) -> Duration {
@@ -100,30 +104,33 @@
     }
 
     fn record_wait(&mut self, now: Time, wait: Duration) {
-        self.min_wait = self.min_wait.min(wait);
+        self.shortest_wait = self.shortest_wait.min(wait);
         let interval_over = self.interval_ends_at.is_none_or(|end| now >= end);
         if wait <= self.target() {
-            self.overloaded_intervals = 0; // One quick passage shows that the queue has drained.
-        } else if interval_over && self.was_busy_until(now) && self.min_wait > self.target() {
+            self.overloaded_intervals = 0; // One short wait shows that the queue has drained.
+        } else if interval_over
+            && self.arrivals_did_not_pause(now)
+            && self.shortest_wait > self.target()
+        {
             self.overloaded_intervals += 1;
         }
         if interval_over {
-            self.min_wait = wait;
-            self.interval_ends_at = Some(now + INTERVAL);
+            self.shortest_wait = wait;
+            self.interval_ends_at = Some(now + MEASUREMENT_INTERVAL);
         }
     }
 
-    /// Whether the interval that just ended was followed by messages without a pause. The first message after a pause
-    /// opens an interval; alone it does not show a standing queue.
-    fn was_busy_until(&self, now: Time) -> bool {
+    /// Whether less than one interval passed between the end of the last interval and this message. The first message
+    /// after a longer pause only starts a new interval, since a single long wait does not prove a standing queue.
+    fn arrivals_did_not_pause(&self, now: Time) -> bool {
         self.interval_ends_at
-            .is_some_and(|end| now.duration_since(end) < INTERVAL)
+            .is_some_and(|end| now.duration_since(end) < MEASUREMENT_INTERVAL)
     }
 }
 
-/// The Retry-After of a number of nanoseconds; 0 stands for none.
-pub(crate) fn retry_after(nanoseconds: u64) -> Option<Duration> {
-    (nanoseconds > 0).then(|| Duration::from_nanos(nanoseconds))
+/// Converts nanoseconds to a Retry-After; 0 stands for none.
+pub(crate) fn retry_after_from_ns(retry_after_ns: u64) -> Option<Duration> {
+    (retry_after_ns > 0).then(|| Duration::from_nanos(retry_after_ns))
 }
 
 #[cfg(test)]
--- a/crates/front/src/overload/tests.rs
+++ b/crates/front/src/overload/tests.rs
@@ -1,21 +1,21 @@
-//! Load shedding by the wait and the number of pending requests.
+//! Load shedding by how long messages waited and by the number of pending requests.
 use super::*;
-const MS: u64 = 1_000_000;
-const SECOND: u64 = 1000 * MS;
+const MILLISECOND: u64 = 1_000_000;
+const SECOND: u64 = 1000 * MILLISECOND;
 
 fn detector() -> OverloadDetector {
     OverloadDetector::new(OverloadLimits {
         max_pending: 10,
         max_pending_per_player: 3,
-        latency_objective: Duration::from_nanos(800 * MS),
+        latency_objective: Duration::from_nanos(800 * MILLISECOND),
         max_retry_after: Duration::from_nanos(SECOND),
     })
 }
 
-/// Requests one admission a millisecond with the given wait; how many were admitted.
+/// Requests `count` admissions, one per millisecond, each after the same wait. Returns how many were admitted.
 fn count_admitted(detector: &mut OverloadDetector, from: u64, count: u64, wait: u64) -> usize {
     let is_admitted = |index: &u64| {
-        let now = from + index * MS;
+        let now = from + index * MILLISECOND;
         let received_at = Time(now.saturating_sub(wait));
         detector.admit(Time(now), received_at, 0, 0) == AdmissionDecision::Admit
     };
@@ -26,25 +26,28 @@
 fn a_burst_that_drains_is_admitted_and_a_standing_queue_is_shed() {
     let mut detector = detector();
     assert_eq!(
-        count_admitted(&mut detector, SECOND, 80, 60 * MS),
+        count_admitted(&mut detector, SECOND, 80, 60 * MILLISECOND),
         80,
-        "a burst shorter than the interval"
+        "a burst shorter than the interval is admitted"
     );
-    assert_eq!(count_admitted(&mut detector, SECOND + 80 * MS, 1, MS), 1);
-    let admitted = count_admitted(&mut detector, 2 * SECOND, 1000, 60 * MS);
+    assert_eq!(
+        count_admitted(&mut detector, SECOND + 80 * MILLISECOND, 1, MILLISECOND),
+        1
+    );
+    let admitted = count_admitted(&mut detector, 2 * SECOND, 1000, 60 * MILLISECOND);
     assert!(
         (100..300).contains(&admitted),
-        "sheds load after two intervals of standing queue: {admitted}"
+        "load is shed after about two intervals of a standing queue: {admitted}"
     );
     assert_eq!(
-        count_admitted(&mut detector, 3 * SECOND, 50, MS),
+        count_admitted(&mut detector, 3 * SECOND, 50, MILLISECOND),
         50,
-        "one quick passage ends it"
+        "one short wait ends the overload"
     );
 }
 
 #[test]
-fn pending_requests_are_bounded_in_all_and_for_each_player() {
+fn pending_requests_are_bounded_in_total_and_for_each_player() {
     let mut detector = detector();
     let now = Time(SECOND);
     assert_eq!(detector.admit(now, now, 9, 2), AdmissionDecision::Admit);
@@ -63,7 +66,7 @@
     let mut detector = detector();
     let without_load = detector.retry_after(1.0).unwrap();
     assert!(detector.retry_after(0.0).unwrap() < without_load);
-    count_admitted(&mut detector, SECOND, 2000, 60 * MS);
+    count_admitted(&mut detector, SECOND, 2000, 60 * MILLISECOND);
     assert!(
         detector.retry_after(1.0).unwrap() > without_load
             && detector.retry_after(1.0).unwrap() <= Duration::from_nanos(SECOND)
--- a/crates/front/src/recovery_queue.rs
+++ b/crates/front/src/recovery_queue.rs
@@ -1,10 +1,11 @@
-//! The queue of requests that wait, undecided, until it is known which set-ups a previous incarnation had begun.
+//! The queue of requests on which the core does not decide until it is known which set-ups a previous incarnation had
+//! started.
 use crate::ids::{Call, PlayerId};
 use crate::input::OpenRequest;
 use crankpaddle::Time;
 use std::collections::VecDeque;
 
-/// A player's request for a session with the call that it came by.
+/// A player's request for a session, with the call that gets the answer.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenCall {
     pub call: Call,
@@ -16,8 +17,8 @@
 /// A queued request.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedOpen {
-    pub opening: OpenCall,
-    /// When it must be answered.
+    pub open_call: OpenCall,
+    /// When the request must be answered.
     pub deadline: Time,
 }
 
@@ -38,7 +39,7 @@
     pub(crate) fn count_of(&self, player: PlayerId) -> usize {
         self.0
             .iter()
-            .filter(|queued| queued.opening.call.player == player)
+            .filter(|queued| queued.open_call.call.player == player)
             .count()
     }
 
@@ -47,7 +48,7 @@
         std::mem::take(&mut self.0)
     }
 
-    /// Removes and returns the requests that must be answered at `now`.
+    /// Removes and returns the requests whose deadline has come at `now`.
     pub(crate) fn take_due(&mut self, now: Time) -> VecDeque<QueuedOpen> {
         let (due, remaining) = self
             .take_all()
@@ -57,8 +58,9 @@
         due
     }
 
-    /// Removes a player's requests without an answer, since its connection is closed.
+    /// Removes the requests of a player that left or disconnected; they get no answer.
     pub(crate) fn remove_player(&mut self, player: PlayerId) {
-        self.0.retain(|queued| queued.opening.call.player != player);
+        self.0
+            .retain(|queued| queued.open_call.call.player != player);
     }
 }
--- a/crates/front/src/timers.rs
+++ b/crates/front/src/timers.rs
@@ -1,25 +1,26 @@
-//! The expiries of a core, ordered by time. Entries are never cancelled: the handler of an expired entry checks whether
-//! it still applies.
+//! The timers of a core, ordered by time. Entries are never cancelled. Instead the handler of an expired entry checks
+//! whether the entry still applies.
 use crate::ids::AttemptId;
 use crankpaddle::{RequestId, Time};
 use std::collections::BTreeSet;
 
-/// What happens when a timer expires. Entries of the same time expire in the order of the variants and their fields.
+/// What a timer is for. Entries of the same time expire in the order of the variants and their fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerEntry {
     /// A timer that the placement policy set, with its token.
     PolicyTimer(u32),
-    /// The time allowed for an attempt is over.
+    /// The time-out of an attempt.
     AttemptTimeout(AttemptId),
-    /// The request must be answered now.
+    /// The latest time at which the request must be answered.
     AnswerDeadline(RequestId),
-    /// The player of this session has been disconnected for too long.
+    /// The end of the time within which a disconnected player may reattach to its request.
     ResumeWindow {
         request: RequestId,
-        /// The request's count of disconnects when the timer was set; the entry applies only if it is still the same.
+        /// Number of the request's disconnects when the timer was set. If it has changed since, the player has
+        /// reattached and disconnected again, and only the entry of the latest disconnect applies.
         disconnects: u32,
     },
-    /// The retention of the ended request's key is over.
+    /// The end of the retention of an ended request's key.
     KeyRetention(RequestId),
     /// A request in the recovery queue may have to be answered.
     RecoveryQueue,
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,15 +1,15 @@
-//! Settings and units shared by the tests of the core.
+//! Settings, classes and units of time that the tests of the core share.
 use crankpaddle::{Class, Idempotency};
 use crankpaddle_front::Settings;
 
-pub(crate) const MS: u64 = 1_000_000;
-pub(crate) const SECOND: u64 = 1000 * MS;
+pub(crate) const MILLISECOND: u64 = 1_000_000;
+pub(crate) const SECOND: u64 = 1000 * MILLISECOND;
 pub(crate) const FREE: u8 = 0;
 pub(crate) const PAID: u8 = 1;
 
 pub(crate) fn settings() -> Settings {
     let class = |idempotency, priority_weight| Class {
-        latency_objective: 800 * MS,
+        latency_objective: 800 * MILLISECOND,
         idempotency,
         retry_window: 0,
         priority_weight,
--- a/crates/front/tests/drive/harness.rs
+++ b/crates/front/tests/drive/harness.rs
@@ -1,9 +1,9 @@
-//! A core with six servers, its clock, and what it puts out.
+//! A core with six servers and a virtual clock.
 use crate::common::{settings, SECOND};
 use crankpaddle_front::*;
 use std::time::Duration;
 
-/// How often the policy decides right after an input where its decisions are drawn.
+/// Probability that the policy decides right after an input, in runs that draw this at random.
 const DECISION_PROBABILITY: f32 = 0.3;
 
 pub(crate) struct Harness {
@@ -11,12 +11,12 @@
     pub(crate) now: Time,
     outputs: Vec<Output>,
     calls: u64,
-    /// Draws whether the policy decides after an input; without it, it always does.
+    /// Draws whether the policy decides after an input. Without it the policy always decides.
     decision_draws: Option<oorandom::Rand32>,
 }
 
 impl Harness {
-    /// A core that knows its servers, and whose policy decides after each input.
+    /// Creates a core that knows its servers and whose policy decides after each input.
     pub(crate) fn new() -> Harness {
         let now = Time(1000 * SECOND);
         let mut harness = Harness {
@@ -33,12 +33,13 @@
         harness
     }
 
-    /// Lets the policy decide only after some inputs, drawn with `seed`.
+    /// Lets the policy decide only after some of the inputs, which are drawn at random with `seed`.
     pub(crate) fn decide_in_batches(&mut self, seed: u64) {
         self.decision_draws = Some(oorandom::Rand32::new(seed));
     }
 
-    /// Handles an input, and decides.
+    /// Handles an input, and lets the policy decide unless decisions are drawn and this draw is negative. Returns the
+    /// outputs.
     pub(crate) fn handle(&mut self, input: Input) -> Vec<Output> {
         self.core.handle_input(self.now, input, &mut self.outputs);
         let decides = self
@@ -47,24 +48,25 @@
             .is_none_or(|draws| draws.rand_float() < DECISION_PROBABILITY);
         if decides {
             self.core.decide(self.now, &mut self.outputs);
-            self.core.check().unwrap();
+            self.core.check_invariants().unwrap();
         }
         std::mem::take(&mut self.outputs)
     }
 
-    /// Handles an input; what is put out before the policy decides.
+    /// Handles an input, and returns the outputs before the policy decides.
     pub(crate) fn handle_input(&mut self, input: Input) -> Vec<Output> {
         self.core.handle_input(self.now, input, &mut self.outputs);
         std::mem::take(&mut self.outputs)
     }
 
+    /// Lets the policy decide, and returns the outputs.
     pub(crate) fn decide(&mut self) -> Vec<Output> {
         self.core.decide(self.now, &mut self.outputs);
-        self.core.check().unwrap();
+        self.core.check_invariants().unwrap();
         std::mem::take(&mut self.outputs)
     }
 
-    /// A new call of a player.
+    /// Creates a new call of a player.
     pub(crate) fn call(&mut self, player: u64) -> Call {
         self.calls += 1;
         Call {
@@ -73,6 +75,7 @@
         }
     }
 
+    /// Sends an open request for a session, and returns its call and the outputs.
     pub(crate) fn open(&mut self, player: u64, key: &str, class: u8) -> (Call, Vec<Output>) {
         let call = self.call(player);
         let open = OpenRequest {
@@ -93,34 +96,38 @@
         (call, outputs)
     }
 
-    /// The server answers that the session plays.
-    pub(crate) fn start(&mut self, attempt: AttemptId) -> Vec<Output> {
+    /// Completes the set-up with a session that plays.
+    pub(crate) fn establish(&mut self, attempt: AttemptId) -> Vec<Output> {
         self.handle(Input::SetUpCompleted(attempt, SetUpResult::Started(vec![])))
     }
 
-    /// The set-up ends without a session.
-    pub(crate) fn fail(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Vec<Output> {
+    /// Ends the set-up without a session.
+    pub(crate) fn fail_set_up(
+        &mut self,
+        attempt: AttemptId,
+        outcome: AttemptOutcome,
+    ) -> Vec<Output> {
         self.handle(Input::SetUpCompleted(
             attempt,
             SetUpResult::Ended(outcome, vec![]),
         ))
     }
 
-    /// Advances the clock by `time` nanoseconds, handling each timer when it expires.
-    pub(crate) fn advance(&mut self, time: u64) -> Vec<Output> {
-        let until = Time(self.now.0 + time);
+    /// Advances the clock, and handles each timer when it expires.
+    pub(crate) fn advance(&mut self, nanoseconds: u64) -> Vec<Output> {
+        let until = Time(self.now.0 + nanoseconds);
         while let Some(at) = self.core.next_expiry().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.core.expire(self.now, &mut self.outputs);
-            self.core.check().unwrap();
+            self.core.check_invariants().unwrap();
         }
         self.now = until;
         std::mem::take(&mut self.outputs)
     }
 }
 
-/// The first attempt that is started.
-pub(crate) fn set_up(outputs: &[Output]) -> Option<(AttemptId, ServerId)> {
+/// The first attempt that the outputs start, with its server.
+pub(crate) fn first_set_up(outputs: &[Output]) -> Option<(AttemptId, ServerId)> {
     outputs.iter().find_map(|output| match output {
         Output::StartSetUp {
             attempt, server, ..
@@ -129,7 +136,7 @@
     })
 }
 
-/// The answers to calls.
+/// The answers among the outputs.
 pub(crate) fn answers(outputs: &[Output]) -> Vec<(Call, Answer)> {
     let answer_of = |output: &Output| match output {
         Output::Answer(call, answer) => Some((*call, answer.clone())),
--- a/crates/front/tests/drive/main.rs
+++ b/crates/front/tests/drive/main.rs
@@ -1,4 +1,4 @@
-//! Drives a core through each hard case by hand, and through random faults, and checks what it puts out.
+//! Tests of a core by its inputs and outputs: individual cases, and runs with random faults.
 #[path = "../common/mod.rs"]
 mod common;
 mod harness;
--- a/crates/front/tests/drive/players.rs
+++ b/crates/front/tests/drive/players.rs
@@ -1,23 +1,25 @@
-//! Players that reconnect, disconnect, leave and adopt sessions.
+//! Players that reconnect, disconnect or leave, and the adoption of sessions.
 use crate::common::{FREE, PAID, SECOND};
-use crate::harness::{answers, set_up, Harness};
+use crate::harness::{answers, first_set_up, Harness};
 use crankpaddle_front::*;
 
 #[test]
 fn a_reconnect_during_an_attempt_joins_the_outstanding_attempt() {
     let mut harness = Harness::new();
     let (first, outputs) = harness.open(1, "a", PAID);
-    let (attempt, server) = set_up(&outputs).unwrap();
+    let (attempt, server) = first_set_up(&outputs).unwrap();
     harness.handle(Input::PlayerDisconnected(PlayerId(1)));
     let (second, outputs) = harness.open(2, "a", PAID);
-    assert!(set_up(&outputs).is_none() && answers(&outputs).is_empty());
-    let plays = harness.start(attempt);
-    let answer = answers(&plays);
-    assert_eq!(answer.len(), 1);
-    assert_eq!(answer[0].0, second);
-    assert!(matches!(answer[0].1, Answer::Established { server: s, .. } if s == server));
+    assert!(first_set_up(&outputs).is_none() && answers(&outputs).is_empty());
+    let outputs = harness.establish(attempt);
+    let answered = answers(&outputs);
+    assert_eq!(answered.len(), 1);
+    assert_eq!(answered[0].0, second);
+    assert!(
+        matches!(answered[0].1, Answer::Established { server: playing_at, .. } if playing_at == server)
+    );
     assert_ne!(first, second);
-    // The resume window of the lost connection ends without an effect.
+    // The end of the resume window of the closed connection has no effect.
     assert!(!harness
         .advance(10 * SECOND)
         .iter()
@@ -26,17 +28,17 @@
 }
 
 #[test]
-fn two_connections_that_claim_one_session_get_one_answer_each() {
+fn two_connections_that_open_one_session_get_one_answer_each() {
     let mut harness = Harness::new();
     let (first, outputs) = harness.open(1, "a", PAID);
-    let (attempt, _) = set_up(&outputs).unwrap();
+    let (attempt, _) = first_set_up(&outputs).unwrap();
     let (second, outputs) = harness.open(2, "a", PAID);
     assert_eq!(answers(&outputs), [(first, Answer::Superseded)]);
-    let plays = answers(&harness.start(attempt));
-    assert_eq!((plays.len(), plays[0].0), (1, second));
-    // A third reattaches to the playing session; the second is notified.
+    let answered = answers(&harness.establish(attempt));
+    assert_eq!((answered.len(), answered[0].0), (1, second));
+    // A third connection reattaches to the playing session, and the second is notified.
     let (third, outputs) = harness.open(3, "a", PAID);
-    assert!(matches!(answers(&outputs)[..], [(c, Answer::Established { .. })] if c == third));
+    assert!(matches!(answers(&outputs)[..], [(call, Answer::Established { .. })] if call == third));
     let is_superseded = |output: &Output| {
         matches!(
             output,
@@ -59,7 +61,7 @@
     assert_eq!(
         answers(&closed),
         [(call, Answer::UnknownSession)],
-        "it no longer belongs to the second"
+        "the session no longer belongs to the second connection"
     );
 }
 
@@ -67,8 +69,8 @@
 fn a_player_that_stays_disconnected_has_its_session_torn_down() {
     let mut harness = Harness::new();
     let (_, outputs) = harness.open(1, "a", FREE);
-    let (attempt, server) = set_up(&outputs).unwrap();
-    harness.start(attempt);
+    let (attempt, server) = first_set_up(&outputs).unwrap();
+    harness.establish(attempt);
     harness.handle(Input::PlayerDisconnected(PlayerId(1)));
     assert_eq!(harness.core.playing(), 1);
     let outputs = harness.advance(4 * SECOND);
@@ -80,15 +82,15 @@
 fn a_viewer_that_leaves_withdraws_its_set_up_at_once() {
     let mut harness = Harness::new();
     let (call, outputs) = harness.open(7, "a", PAID);
-    let (attempt, server) = set_up(&outputs).expect("an attempt");
+    let (attempt, server) = first_set_up(&outputs).expect("an attempt");
     let outputs = harness.handle(Input::Leave(call.player));
     assert_eq!(
         outputs,
         [Output::AbandonAttempt(attempt, server)],
-        "and no answer follows"
+        "the set-up is abandoned and no answer follows"
     );
     assert_eq!(harness.core.waiting(), 0);
-    assert_eq!(harness.start(attempt), []);
+    assert_eq!(harness.establish(attempt), []);
 }
 
 #[test]
@@ -116,7 +118,7 @@
         } => Some((*player, *attempt, *server)),
         _ => None,
     });
-    let (player, attempt, server) = adopted.expect("it is adopted");
+    let (player, attempt, server) = adopted.expect("the session is adopted");
     assert_eq!(
         (player, server, harness.core.playing()),
         (PlayerId(50), ServerId(2), 1)
@@ -124,7 +126,7 @@
     assert_eq!(
         harness.handle(adopt(51)),
         [],
-        "adopted twice, it is tracked once"
+        "a session that is adopted twice is tracked once"
     );
     let outputs = harness.handle(Input::Leave(PlayerId(50)));
     assert!(
@@ -133,7 +135,7 @@
     );
     assert_eq!(harness.core.playing(), 0);
     assert!(
-        set_up(&harness.open(1, "held", PAID).1).is_none(),
-        "what was paid is not set up again"
+        first_set_up(&harness.open(1, "held", PAID).1).is_none(),
+        "a paid session is not set up again"
     );
 }
--- a/crates/front/tests/drive/random_run.rs
+++ b/crates/front/tests/drive/random_run.rs
@@ -1,12 +1,13 @@
-//! Random players and servers for a minute of virtual time; judged by inputs and outputs alone.
-use crate::common::{FREE, MS, PAID, SECOND};
+//! Runs with random inputs of players and servers over about a minute of virtual time. Only inputs and outputs are
+//! checked.
+use crate::common::{FREE, MILLISECOND, PAID, SECOND};
 use crate::harness::Harness;
 use crankpaddle_front::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const STEPS: u32 = 3000;
 
-/// A call without an answer so far.
+/// A call that has no answer yet.
 #[derive(Debug)]
 struct PendingCall {
     key: String,
@@ -28,7 +29,7 @@
     outstanding: BTreeMap<RequestId, AttemptId>,
     attempts: BTreeMap<AttemptId, StartedAttempt>,
     playing: BTreeSet<AttemptId>,
-    /// Paid requests of which an attempt may have run.
+    /// Paid requests with an attempt that may have run.
     paid_that_may_have_run: BTreeSet<RequestId>,
     keys: BTreeMap<RequestId, String>,
 }
@@ -66,8 +67,8 @@
             8 => self.end_some_session(),
             9 => self.disconnect(player),
             _ => {
-                let time = u64::from(self.rng.rand_range(1..60)) * MS;
-                self.harness.advance(time)
+                let nanoseconds = u64::from(self.rng.rand_range(1..60)) * MILLISECOND;
+                self.harness.advance(nanoseconds)
             }
         };
         for output in outputs {
@@ -102,7 +103,7 @@
             return vec![];
         };
         self.playing.insert(attempt);
-        let outputs = self.harness.start(attempt);
+        let outputs = self.harness.establish(attempt);
         self.record_result(attempt, AttemptOutcome::Completed);
         outputs
     }
@@ -118,7 +119,7 @@
             AttemptOutcome::Reset,
         ];
         let outcome = outcomes[self.rng.rand_range(0..4) as usize];
-        let outputs = self.harness.fail(attempt, outcome);
+        let outputs = self.harness.fail_set_up(attempt, outcome);
         self.record_result(attempt, outcome);
         outputs
     }
@@ -177,11 +178,11 @@
         let seed = self.seed;
         assert!(
             self.outstanding.insert(request, attempt).is_none(),
-            "seed {seed}: two attempts out"
+            "seed {seed}: two outstanding attempts of one request"
         );
         assert!(
             !self.paid_that_may_have_run.contains(&request),
-            "seed {seed}: a paid set-up sent again"
+            "seed {seed}: a paid set-up that may have run is sent again"
         );
         let class = order.class;
         self.attempts
@@ -203,12 +204,12 @@
         let PendingCall { key, opened_at } = self
             .pending_calls
             .remove(&call)
-            .unwrap_or_else(|| panic!("seed {seed}: no answer pending for {call:?}"));
+            .unwrap_or_else(|| panic!("seed {seed}: an answer to {call:?}, which is not pending"));
         assert!(
             self.harness.now.0 - opened_at.0 <= 5 * SECOND,
-            "seed {seed}: late"
+            "seed {seed}: late answer"
         );
-        // A rejection states that nothing of it ran: no paid request of this key may have.
+        // A rejection states that nothing ran, so no paid request with this key may have run.
         let is_rejected = matches!(answer, Answer::Rejected { .. });
         let may_have_run = self
             .paid_that_may_have_run
@@ -216,11 +217,11 @@
             .any(|request| self.keys.get(request) == Some(&key));
         assert!(
             !is_rejected || !may_have_run,
-            "seed {seed}: rejected though it may have run: {key}"
+            "seed {seed}: request with key {key} is rejected though it may have run"
         );
     }
 
-    /// Waits until every viewer would have given up; each call has its answer then.
+    /// Waits until each viewer has given up, and checks that each call was answered.
     fn check_all_answered(mut self) {
         let seed = self.seed;
         for output in self.harness.advance(10 * SECOND) {
@@ -230,7 +231,7 @@
         }
         assert!(
             self.pending_calls.is_empty(),
-            "seed {seed}: never answered {:?}",
+            "seed {seed}: calls without an answer: {:?}",
             self.pending_calls
         );
         assert_eq!(self.harness.core.waiting(), 0);
@@ -246,7 +247,7 @@
 }
 
 #[test]
-fn whatever_happens_each_call_gets_one_answer_in_time() {
+fn each_call_gets_one_answer_in_time_under_random_faults() {
     for seed in 0..40 {
         random_run(seed, false);
         random_run(seed, true);
--- a/crates/front/tests/startup_recovery.rs
+++ b/crates/front/tests/startup_recovery.rs
@@ -1,5 +1,5 @@
-//! Staged recovery of a core after a power loss: which requests are queued, which classes are served first, and what a
-//! key of a previous incarnation means.
+//! Staged recovery of a core after a power loss: which requests are queued, which classes are served first, and how
+//! keys of previous incarnations are handled.
 mod common;
 use common::*;
 use crankpaddle_front::keys::RequestOutcome;
@@ -13,8 +13,9 @@
     calls: u64,
 }
 
-/// A core whose previous incarnation ended like this, in a fleet of so many fronts; it knows no servers yet.
-fn harness(previous_shutdown: PreviousShutdown, previous_fronts: u32) -> Harness {
+/// Creates a core that knows no servers yet. Its previous incarnation ended by `previous_shutdown`, in a fleet of
+/// `previous_fronts` fronts.
+fn recovering_harness(previous_shutdown: PreviousShutdown, previous_fronts: u32) -> Harness {
     let now = 1000 * SECOND;
     let config = CoreConfig {
         max_wait: vec![Duration::from_secs(5), Duration::from_secs(4)],
@@ -51,17 +52,18 @@
 impl Harness {
     fn handle(&mut self, input: Input) -> Vec<Output> {
         self.core.handle(Time(self.now), input, &mut self.outputs);
-        self.core.check().unwrap();
+        self.core.check_invariants().unwrap();
         std::mem::take(&mut self.outputs)
     }
 
-    fn advance(&mut self, time: u64) -> Vec<Output> {
-        let until = self.now + time;
+    /// Advances the clock, and handles each timer when it expires.
+    fn advance(&mut self, nanoseconds: u64) -> Vec<Output> {
+        let until = self.now + nanoseconds;
         let mut all = Vec::new();
         while let Some(next) = self.core.next_expiry().filter(|at| at.0 <= until) {
             self.now = next.0.max(self.now);
             self.core.expire(Time(self.now), &mut self.outputs);
-            self.core.check().unwrap();
+            self.core.check_invariants().unwrap();
             all.append(&mut self.outputs);
         }
         self.now = until;
@@ -107,7 +109,7 @@
         ));
     }
 
-    /// All servers have reported their sessions, and what was found was handed in.
+    /// Completes reconciliation: all servers have reported their sessions, and everything found was passed to the core.
     fn complete_reconciliation(&mut self) -> Vec<Output> {
         self.handle(Input::EndpointsKnown);
         let mut all = self.handle(Input::ReconciliationCompleted);
@@ -137,17 +139,17 @@
     }
 }
 
-fn answer(outputs: &[Output], to: Call) -> Option<&Answer> {
+fn answer_to(outputs: &[Output], wanted: Call) -> Option<&Answer> {
     outputs.iter().find_map(|output| {
         if let Output::Answer(call, answer) = output {
-            (*call == to).then_some(answer)
+            (*call == wanted).then_some(answer)
         } else {
             None
         }
     })
 }
 
-fn set_ups(outputs: &[Output]) -> usize {
+fn count_set_ups(outputs: &[Output]) -> usize {
     outputs
         .iter()
         .filter(|output| matches!(output, Output::StartSetUp { .. }))
@@ -156,7 +158,7 @@
 
 #[test]
 fn all_requests_are_queued_during_reconciliation_and_paid_ones_are_served_first() {
-    let mut harness = harness(PreviousShutdown::PowerLost, 0);
+    let mut harness = recovering_harness(PreviousShutdown::PowerLost, 0);
     let (paid, outputs) = harness.open("a", PAID);
     assert!(outputs.is_empty(), "{outputs:?}");
     let (free, _) = harness.open("b", FREE);
@@ -164,40 +166,44 @@
         (harness.core.queued_for_recovery(), harness.core.waiting()),
         (2, 2)
     );
-    harness.advance(500 * MS);
+    harness.advance(500 * MILLISECOND);
     let outputs = harness.complete_reconciliation();
-    assert_eq!(set_ups(&outputs), 1, "the paid one");
-    assert!(answer(&outputs, paid).is_none());
+    assert_eq!(
+        count_set_ups(&outputs),
+        1,
+        "only the paid request is served"
+    );
+    assert!(answer_to(&outputs, paid).is_none());
     let Some(Answer::Rejected {
         reason: RejectReason::Recovering,
         retry_after,
-    }) = answer(&outputs, free)
+    }) = answer_to(&outputs, free)
     else {
         panic!("{outputs:?}")
     };
     assert!(
         *retry_after > Some(Duration::ZERO) && *retry_after <= Some(Duration::from_nanos(SECOND)),
-        "no longer than the configured maximum"
+        "the Retry-After is at most the configured maximum"
     );
-    // A second without a rejected paid request: all classes are served.
+    // After one second without a rejected paid request, all classes are served.
     harness.advance(SECOND);
     assert_eq!(harness.core.stage(), RecoveryStage::AllClasses);
-    assert_eq!(set_ups(&harness.open("c", FREE).1), 1);
+    assert_eq!(count_set_ups(&harness.open("c", FREE).1), 1);
 }
 
 #[test]
 fn requests_queued_for_recovery_do_not_count_as_overload() {
-    let mut harness = harness(PreviousShutdown::Killed, 0);
-    for n in 0..10 {
-        harness.open(&format!("k{n}"), PAID);
+    let mut harness = recovering_harness(PreviousShutdown::Killed, 0);
+    for number in 0..10 {
+        harness.open(&format!("k{number}"), PAID);
     }
     harness.advance(2 * SECOND);
-    assert_eq!(set_ups(&harness.complete_reconciliation()), 10);
+    assert_eq!(count_set_ups(&harness.complete_reconciliation()), 10);
 }
 
 #[test]
-fn each_queued_request_is_answered_before_its_viewer_gives_up_though_no_server_reports() {
-    let mut harness = harness(PreviousShutdown::PowerLost, 0);
+fn each_queued_request_is_answered_before_its_viewer_gives_up_even_if_no_server_reports() {
+    let mut harness = recovering_harness(PreviousShutdown::PowerLost, 0);
     harness.handle(Input::KeyUnresolved {
         tenant: 0,
         key: "begun".into(),
@@ -205,30 +211,30 @@
     let (new, _) = harness.open("new", PAID);
     let (begun, _) = harness.open("begun", PAID);
     let (free, _) = harness.open("free", FREE);
-    let outputs = harness.advance(3900 * MS - 1);
+    let outputs = harness.advance(3900 * MILLISECOND - 1);
     assert!(outputs.is_empty(), "{outputs:?}");
     let outputs = harness.advance(2 * SECOND);
     assert!(matches!(
-        answer(&outputs, new),
+        answer_to(&outputs, new),
         Some(Answer::Rejected {
             reason: RejectReason::Recovering,
             ..
         })
     ));
-    // Why it fails: a rejection states that nothing ran.
+    // A rejection would state that nothing ran, but the set-up of the previous incarnation may have run.
     assert_eq!(
-        answer(&outputs, begun),
+        answer_to(&outputs, begun),
         Some(&Answer::Failed(FailureReason::NoAnswer))
     );
     assert!(matches!(
-        answer(&outputs, free),
+        answer_to(&outputs, free),
         Some(Answer::Rejected { .. })
     ));
     assert_eq!(harness.core.queued_for_recovery(), 0);
-    // No server is known that could report: later requests are rejected at once with a Retry-After.
+    // No server is known that could report its sessions, so later requests are rejected at once.
     let (late, outputs) = harness.open("late", FREE);
     assert!(matches!(
-        answer(&outputs, late),
+        answer_to(&outputs, late),
         Some(Answer::Rejected {
             reason: RejectReason::Recovering,
             ..
@@ -237,19 +243,19 @@
 }
 
 #[test]
-fn where_the_disk_was_lost_no_paid_request_is_rejected_as_if_nothing_ran() {
-    let mut harness = harness(PreviousShutdown::Unknown, 0);
+fn after_the_loss_of_the_disk_paid_requests_are_not_rejected_as_if_nothing_ran() {
+    let mut harness = recovering_harness(PreviousShutdown::Unknown, 0);
     let (paid, _) = harness.open("a", PAID);
     let outputs = harness.advance(5 * SECOND);
     assert_eq!(
-        answer(&outputs, paid),
+        answer_to(&outputs, paid),
         Some(&Answer::Failed(FailureReason::NoAnswer))
     );
 }
 
 #[test]
 fn keys_of_previous_incarnations_have_the_outcome_that_servers_reported() {
-    let mut harness = harness(PreviousShutdown::PowerLost, 0);
+    let mut harness = recovering_harness(PreviousShutdown::PowerLost, 0);
     for key in ["spent", "failed", "never"] {
         harness.handle(Input::KeyUnresolved {
             tenant: 0,
@@ -274,19 +280,23 @@
     }
     let outputs = harness.complete_reconciliation();
     assert_eq!(
-        answer(&outputs, calls[0]),
+        answer_to(&outputs, calls[0]),
         Some(&Answer::Failed(FailureReason::KeySpent))
     );
     assert_eq!(
-        answer(&outputs, calls[1]),
+        answer_to(&outputs, calls[1]),
         Some(&Answer::Failed(FailureReason::NoAnswer))
     );
-    assert_eq!(set_ups(&outputs), 1, "a key that never ran is set up");
+    assert_eq!(
+        count_set_ups(&outputs),
+        1,
+        "only the key that never ran is set up"
+    );
 }
 
 #[test]
 fn a_class_that_is_no_longer_configured_counts_as_paid() {
-    let mut harness = harness(PreviousShutdown::PowerLost, 0);
+    let mut harness = recovering_harness(PreviousShutdown::PowerLost, 0);
     harness.handle(Input::KeyResolved {
         tenant: 0,
         key: "k".into(),
@@ -296,15 +306,15 @@
     harness.complete_reconciliation();
     let (call, outputs) = harness.open("k", PAID);
     assert_eq!(
-        answer(&outputs, call),
+        answer_to(&outputs, call),
         Some(&Answer::Failed(FailureReason::KeySpent))
     );
 }
 
 #[test]
-fn a_session_found_at_a_server_waits_for_its_viewer_and_is_torn_down_without_him() {
+fn a_session_found_at_a_server_is_torn_down_unless_its_viewer_reattaches() {
     for reattaches in [true, false] {
-        let mut harness = harness(PreviousShutdown::PowerLost, 0);
+        let mut harness = recovering_harness(PreviousShutdown::PowerLost, 0);
         harness.complete_reconciliation();
         let outputs = harness.handle(session_found("kept", 5, ServerId(2)));
         let [Output::FoundSessionHandled {
@@ -322,16 +332,16 @@
                 again[..],
                 [Output::FoundSessionHandled { attempt: None, .. }]
             ),
-            "one session a key: {again:?}"
+            "one session for each key: {again:?}"
         );
         harness.advance(9 * SECOND);
         if reattaches {
             let (call, outputs) = harness.open("kept", PAID);
             assert!(
-                matches!(answer(&outputs, call), Some(Answer::Established { attempt: a, .. }) if *a == attempt),
+                matches!(answer_to(&outputs, call), Some(Answer::Established { attempt: found, .. }) if *found == attempt),
                 "{outputs:?}"
             );
-            assert_eq!(set_ups(&outputs), 0);
+            assert_eq!(count_set_ups(&outputs), 0);
         }
         let outputs = harness.advance(5 * SECOND);
         let ended = outputs.contains(&Output::TearDown(attempt, ServerId(2)));
@@ -343,8 +353,8 @@
 }
 
 #[test]
-fn a_smaller_fleet_does_not_count_until_servers_had_time_to_warm_up() {
-    let mut harness = harness(PreviousShutdown::PowerLost, 40);
+fn a_smaller_fleet_is_ignored_until_the_servers_had_time_to_warm_up() {
+    let mut harness = recovering_harness(PreviousShutdown::PowerLost, 40);
     assert_eq!(harness.core.replica_count(), 40);
     harness.handle(Input::FleetSizeChanged(11));
     harness.complete_reconciliation();
@@ -357,7 +367,7 @@
     assert_eq!(
         harness.core.replica_count(),
         50,
-        "a larger fleet counts at once"
+        "a larger fleet takes effect at once"
     );
     harness.handle(Input::FleetSizeChanged(11));
     harness.advance(20 * SECOND);
@@ -369,24 +379,24 @@
 
 #[test]
 fn after_a_clean_shutdown_nothing_is_queued() {
-    let mut harness = harness(PreviousShutdown::Clean, 40);
+    let mut harness = recovering_harness(PreviousShutdown::Clean, 40);
     harness.list_endpoints();
     assert_eq!(
         (harness.core.stage(), harness.core.replica_count()),
         (RecoveryStage::Normal, 2)
     );
-    assert_eq!(set_ups(&harness.open("a", FREE).1), 1);
+    assert_eq!(count_set_ups(&harness.open("a", FREE).1), 1);
 }
 
 #[test]
-fn the_recovery_queue_is_bounded_and_players_that_leave_get_no_answer() {
-    let mut harness = harness(PreviousShutdown::PowerLost, 0);
+fn the_recovery_queue_is_bounded_and_players_that_leave_or_disconnect_get_no_answer() {
+    let mut harness = recovering_harness(PreviousShutdown::PowerLost, 0);
     let calls: Vec<(Call, Vec<Output>)> = (0..25)
-        .map(|n| harness.open(&format!("k{n}"), PAID))
+        .map(|number| harness.open(&format!("k{number}"), PAID))
         .collect();
     let rejected = calls.iter().filter(|(call, outputs)| {
         matches!(
-            answer(outputs, *call),
+            answer_to(outputs, *call),
             Some(Answer::Rejected {
                 reason: RejectReason::TooManyPending,
                 ..
@@ -401,14 +411,14 @@
     harness.handle(Input::Leave(calls[1].0.player));
     assert_eq!(harness.core.queued_for_recovery(), 18);
     let outputs = harness.handle(Input::Stop);
-    assert!(answer(&outputs, calls[0].0).is_none() && answer(&outputs, calls[2].0).is_some());
+    assert!(answer_to(&outputs, calls[0].0).is_none() && answer_to(&outputs, calls[2].0).is_some());
 }
 
 #[test]
-fn an_attempt_deferred_by_a_slow_disk_was_not_sent_and_is_no_failure() {
+fn a_request_whose_attempt_is_deferred_by_a_slow_disk_is_rejected_and_does_not_fail() {
     for state in [SendState::Deferred, SendState::Sent] {
         let is_deferred = state == SendState::Deferred;
-        let mut harness = harness(PreviousShutdown::Clean, 0);
+        let mut harness = recovering_harness(PreviousShutdown::Clean, 0);
         harness.list_endpoints();
         let (call, outputs) = harness.open("a", PAID);
         let started = |output: &Output| {
@@ -422,12 +432,15 @@
         let mut outputs_since = Vec::new();
         while harness.core.waiting() > 0 {
             harness.handle(Input::SendStateChanged(attempt, state));
-            let outputs = harness.advance(100 * MS);
+            let outputs = harness.advance(100 * MILLISECOND);
             attempt = outputs.iter().find_map(started).unwrap_or(attempt);
             outputs_since.extend(outputs);
         }
-        let is_rejected = matches!(answer(&outputs_since, call), Some(Answer::Rejected { .. }));
-        let has_failed = matches!(answer(&outputs_since, call), Some(Answer::Failed(..)));
+        let is_rejected = matches!(
+            answer_to(&outputs_since, call),
+            Some(Answer::Rejected { .. })
+        );
+        let has_failed = matches!(answer_to(&outputs_since, call), Some(Answer::Failed(..)));
         assert_eq!(
             (is_rejected, has_failed),
             (is_deferred, !is_deferred),
