--- a/crates/front/tests/startup_recovery.rs
+++ b/crates/front/tests/startup_recovery.rs
@@ -338,7 +338,7 @@
         if reattaches {
             let (call, outputs) = harness.open("kept", PAID);
             assert!(
-                matches!(answer_to(&outputs, call), Some(Answer::Established { attempt: found, .. }) if *found == attempt),
+                matches!(answer_to(&outputs, call), Some(Answer::Established { attempt: id, .. }) if *id == attempt),
                 "{outputs:?}"
             );
             assert_eq!(count_set_ups(&outputs), 0);
--- a/crates/session-api/src/answers.rs
+++ b/crates/session-api/src/answers.rs
@@ -1,4 +1,4 @@
-//! The messages that a front sends: results, errors and notifications.
+//! The results, errors and notifications that a front sends.
 use crate::jsonrpc::{self, Error, Id};
 use crate::messages::{
     Closed, EndReason, Ended, Failed, FailedReason, Moved, Opened, Refused, RefusedReason,
@@ -13,19 +13,19 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Error code: rejected. None of it ran; the request may be retried at any front. (The API's documents call it
-/// refused.)
+/// Error code: the request was rejected. No attempt of it ran, so it may be retried at any front. The documents of the
+/// API call this refused.
 pub const REFUSED: i64 = -32001;
-/// Error code: failed. An attempt may have run.
+/// Error code: the request failed. An attempt of it may have run.
 pub const FAILED: i64 = -32002;
 /// Error code: another connection resumed the session.
 pub const SUPERSEDED: i64 = -32003;
-/// Error code: no such session, or not one of this connection.
+/// Error code: there is no such session, or it belongs to another connection.
 pub const UNKNOWN_SESSION: i64 = -32004;
 
 const NANOSECONDS_PER_MILLISECOND: u128 = 1_000_000;
 
-/// The reason on the wire. A version that lacks a reason gets the nearest that it has.
+/// The reason as sent to the player. In a version that lacks it, it is replaced by the most similar one.
 fn refused_reason(reason: RejectReason, version: Version) -> RefusedReason {
     match (reason, version) {
         (RejectReason::CrossZoneForbidden, Version::V2) => RefusedReason::CrossZoneForbidden,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Retry-After in milliseconds, rounded up; `None` where the front gives no advice.
+/// The Retry-After in milliseconds, rounded up; `None` if the front gives no advice.
 fn retry_after_ms(retry_after: Option<Duration>) -> Option<u64> {
     let milliseconds = retry_after?
         .as_nanos()
@@ -81,13 +81,13 @@
 /// Where an established session plays.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SessionLocation<'a> {
-    /// The URL of its media.
+    /// The URL of the session's media.
     pub media: &'a str,
-    /// The name of the zone that serves it.
+    /// The name of the zone that serves the session.
     pub zone: &'a str,
 }
 
-/// The answer to a call. Only that of an established session uses `location`.
+/// Builds the answer to a call. `location` is used only if the session is established.
 #[must_use]
 pub fn answer(version: Version, id: &Id, answer: &Answer, location: SessionLocation<'_>) -> Value {
     match answer {
@@ -122,7 +122,7 @@
     }
 }
 
-/// A notification to the player of a session.
+/// Builds a notification to the player of a session.
 #[must_use]
 pub fn notification(session: RequestId, notification: Notification) -> Value {
     let session = session_name(session.0);
--- a/crates/session-api/src/calls.rs
+++ b/crates/session-api/src/calls.rs
@@ -1,11 +1,12 @@
-//! Pending calls of one connection, and the order of outgoing messages. Pure.
+//! Pending calls of one connection, and the order of its outgoing messages. This module performs no I/O.
 //!
-//! The answers of a batch go out together, so an answer that is ready waits for the others of its batch.
+//! The answers of a batch are sent together, so an answer that is ready waits for the others of its batch.
 //!
-//! Invariant: a notification about a session never overtakes the answer that makes the session known. A client that
-//! received it first would drop it, and show the wrong rung or wait for a session that has ended. So notifications of
-//! a session are deferred until the batch with its answer has gone out. The cost: such a notification is as late as
-//! the slowest member of its batch, which is bounded by the shortest wait among its viewers.
+//! Invariant: a notification about a session never overtakes the answer that announces the session. A client that
+//! received the notification first would drop it, and show the wrong rung or wait for a session that has ended. The
+//! notifications of a session are therefore deferred until the batch with its answer was sent. The disadvantage is that
+//! such a notification is as late as the slowest member of its batch, which is bounded by the shortest wait among its
+//! viewers.
 use crate::jsonrpc::Id;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -14,12 +15,12 @@
 #[derive(Clone, Debug)]
 struct Batch {
     answers: Vec<Value>,
-    /// How many members get an answer.
+    /// Number of members that get an answer.
     expected_answers: usize,
-    /// Sessions that its answers so far make known.
-    sessions: Vec<u64>,
-    /// Notifications that go out behind its answers.
-    deferred: Vec<Value>,
+    /// Sessions that the collected answers announce to the client.
+    announced_sessions: Vec<u64>,
+    /// Notifications about these sessions, to be sent after the answers.
+    deferred_notifications: Vec<Value>,
 }
 
 impl Batch {
@@ -27,8 +28,8 @@
         Batch {
             answers: Vec::new(),
             expected_answers,
-            sessions: Vec::new(),
-            deferred: Vec::new(),
+            announced_sessions: Vec::new(),
+            deferred_notifications: Vec::new(),
         }
     }
 
@@ -36,15 +37,15 @@
         self.answers.len() >= self.expected_answers
     }
 
-    /// Its answers as one message, then the deferred notifications.
+    /// The answers as one message, followed by the deferred notifications.
     fn into_messages(self) -> Vec<Value> {
         let mut messages = vec![Value::Array(self.answers)];
-        messages.extend(self.deferred);
+        messages.extend(self.deferred_notifications);
         messages
     }
 }
 
-/// A call without an answer yet.
+/// A call that has no answer yet.
 #[derive(Clone, Debug)]
 struct PendingCall {
     number: u64,
@@ -52,7 +53,7 @@
     batch: Option<u64>,
 }
 
-/// The pending calls of one connection. Numbers of calls and batches are the connection's own and never used twice.
+/// The pending calls and batches of one connection. The connection assigns their numbers and never reuses one.
 #[derive(Clone, Debug, Default)]
 pub struct Calls {
     pending: Vec<PendingCall>,
@@ -60,20 +61,20 @@
 }
 
 impl Calls {
-    /// Begins a batch of which `expected_answers` members get an answer. One without any is not tracked.
+    /// Begins a batch of which `expected_answers` members get an answer. A batch without any is not tracked.
     pub fn begin(&mut self, batch: u64, expected_answers: usize) {
         if expected_answers > 0 {
             self.batches.insert(batch, Batch::new(expected_answers));
         }
     }
 
-    /// Adds a call that is answered later.
+    /// Adds a call that is answered later, with the number of its batch if it belongs to one.
     pub fn add_pending(&mut self, number: u64, id: Id, batch: Option<u64>) {
         self.pending.push(PendingCall { number, id, batch });
     }
 
-    /// Answers a pending call; returns the messages that go out now, in order. Ignores a call that is not pending.
-    /// `session` is the session that the answer makes known, if any.
+    /// Answers a pending call, and returns the messages to send now, in order. A call that is not pending is ignored.
+    /// `session` is the session that the answer announces, if any.
     pub fn answer(
         &mut self,
         number: u64,
@@ -85,12 +86,12 @@
         };
         let call = self.pending.swap_remove(index);
         if self.pending.is_empty() {
-            self.pending = Vec::new(); // An idle connection holds no memory for calls.
+            self.pending = Vec::new(); // Frees the memory, so that an idle connection uses none for calls.
         }
         self.answer_directly(call.batch, session, make_answer(&call.id))
     }
 
-    /// Answers a call that was never pending; returns the messages that go out now, in order.
+    /// Answers a call that was not added as pending, and returns the messages to send now, in order.
     pub fn answer_directly(
         &mut self,
         batch: Option<u64>,
@@ -104,7 +105,7 @@
             return vec![answer];
         };
         batch.answers.push(answer);
-        batch.sessions.extend(session);
+        batch.announced_sessions.extend(session);
         if !batch.is_complete() {
             return Vec::new();
         }
@@ -112,17 +113,17 @@
         complete.map_or_else(Vec::new, Batch::into_messages)
     }
 
-    /// Returns a session's notification if it may go out now, else defers it behind the batch that makes the session
-    /// known.
+    /// Returns a notification about a session if it may be sent now. Otherwise defers it until the batch that announces
+    /// the session is sent.
     pub fn notify(&mut self, session: u64, notification: Value) -> Option<Value> {
         let announcing_batch = self
             .batches
             .values_mut()
-            .find(|batch| batch.sessions.contains(&session));
+            .find(|batch| batch.announced_sessions.contains(&session));
         let Some(batch) = announcing_batch else {
             return Some(notification);
         };
-        batch.deferred.push(notification);
+        batch.deferred_notifications.push(notification);
         None
     }
 }
--- a/crates/session-api/src/calls/tests.rs
+++ b/crates/session-api/src/calls/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use serde_json::json;
 
-fn id(n: u64) -> Id {
-    Id(n.into())
+fn id(number: u64) -> Id {
+    Id(number.into())
 }
 
 #[test]
-fn single_answers_go_out_at_once_and_only_for_pending_calls() {
+fn an_answer_outside_a_batch_is_sent_at_once_and_only_for_a_pending_call() {
     let mut calls = Calls::default();
     calls.add_pending(1, id(7), None);
     assert!(calls.answer(2, None, |_| json!("x")).is_empty());
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn notifications_of_a_session_follow_the_batch_that_makes_it_known() {
+fn notifications_of_a_session_follow_the_batch_that_announces_it() {
     let mut calls = Calls::default();
     calls.begin(1, 3);
     calls.add_pending(1, id(1), Some(1));
@@ -32,12 +32,12 @@
     assert_eq!(
         calls.notify(8, json!("other")),
         Some(json!("other")),
-        "another session's is not held"
+        "a notification of another session is not deferred"
     );
     assert_eq!(calls.notify(9, json!("end")), None);
-    let out = calls.answer(2, None, |_| json!("refused"));
+    let messages = calls.answer(2, None, |_| json!("refused"));
     assert_eq!(
-        out,
+        messages,
         [
             json!(["malformed", "plays", "refused"]),
             json!("rung"),
@@ -67,6 +67,6 @@
     assert_eq!(
         calls.answer_directly(Some(3), None, json!("x")),
         [json!("x")],
-        "one that owes nothing holds nothing"
+        "a batch that expects no answers is not tracked"
     );
 }
--- a/crates/session-api/src/client.rs
+++ b/crates/session-api/src/client.rs
@@ -1,21 +1,21 @@
-//! The player's side: calls written, answers and notifications read.
+//! The player's side of the API: writing calls, and parsing answers and notifications.
 use crate::answers::{FAILED, REFUSED, SUPERSEDED, UNKNOWN_SESSION};
 use crate::methods::{Close, Open, Resume};
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// Why a text is not a front's message.
+/// Why a text could not be parsed as messages of a front.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// It is not JSON.
+    /// The text is not JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// It is JSON, but no message that a front sends.
-    #[error("not a front's message: {0}")]
+    /// The text is JSON, but contains this value, which is not a message of a front.
+    #[error("not a message of a front: {0}")]
     UnexpectedMessage(Value),
 }
 
-/// A front's message.
+/// A message of a front.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientEvent {
     /// Answer to a call: the session is established.
@@ -34,7 +34,7 @@
         /// The call's id.
         id: u64,
     },
-    /// Answer to a call: rejected, without effect.
+    /// Answer to a call: the request was rejected and had no effect.
     Refused {
         /// The call's id.
         id: u64,
@@ -43,7 +43,7 @@
         /// Retry-After in milliseconds.
         retry_after_ms: Option<u64>,
     },
-    /// Answer to a call: failed, perhaps with effect.
+    /// Answer to a call: the request failed and may have had an effect.
     Failed {
         /// The call's id.
         id: u64,
@@ -55,14 +55,14 @@
         /// The call's id.
         id: u64,
     },
-    /// Answer to a call: no such session.
+    /// Answer to a call: there is no such session, or it belongs to another connection.
     Unknown {
         /// The call's id.
         id: u64,
     },
-    /// Any other error.
+    /// Answer to a call: an error with any other code.
     Error {
-        /// The call's id, if the error names it.
+        /// The call's id; `None` if the front could not determine it.
         id: Option<u64>,
         /// The error code.
         code: i64,
@@ -92,33 +92,33 @@
     },
 }
 
-fn call(id: u64, method: &str, params: impl Serialize) -> String {
+fn call_text(id: u64, method: &str, params: impl Serialize) -> String {
     json!({"jsonrpc": "2.0", "id": id, "method": method, "params": params}).to_string()
 }
 
-/// A call that opens a session.
+/// Writes a call that opens a session.
 #[must_use]
 pub fn open(id: u64, params: &Open) -> String {
-    call(id, "session.open", params)
+    call_text(id, "session.open", params)
 }
 
-/// A call that resumes a session.
+/// Writes a call that resumes a session.
 #[must_use]
 pub fn resume(id: u64, params: &Resume) -> String {
-    call(id, "session.resume", params)
+    call_text(id, "session.resume", params)
 }
 
-/// A call that closes a session.
+/// Writes a call that closes a session.
 #[must_use]
 pub fn close(id: u64, session: &str) -> String {
     let session = session.to_owned();
-    call(id, "session.close", Close { session })
+    call_text(id, "session.close", Close { session })
 }
 
-/// Reads a text: one message, or all messages of a batch.
+/// Parses a text, which is one message or a batch of messages.
 ///
 /// # Errors
-/// The text is not JSON, or holds a message that no front sends.
+/// Returns an error if the text is not JSON, or contains a value that is not a message of a front.
 pub fn read(text: &str) -> Result<Vec<ClientEvent>, ClientError> {
     match serde_json::from_str(text)? {
         Value::Array(members) => members.iter().map(read_message).collect(),
@@ -145,15 +145,15 @@
 }
 
 fn parse_notification(method: &str, params: &Value) -> Option<ClientEvent> {
-    let session = text(&params["session"])?;
+    let session = parse_string(&params["session"])?;
     match method {
         "session.rung" => Some(ClientEvent::Rung {
             session,
-            rung: rung(&params["rung"])?,
+            rung: parse_rung(&params["rung"])?,
         }),
         "session.end" => Some(ClientEvent::End {
             session,
-            reason: text(&params["reason"])?,
+            reason: parse_string(&params["reason"])?,
             retry_after_ms: params["retry_after_ms"].as_u64(),
         }),
         "session.move" => Some(ClientEvent::Move { session }),
@@ -167,19 +167,19 @@
     match (id, code) {
         (Some(id), REFUSED) => Some(ClientEvent::Refused {
             id,
-            reason: text(&data["reason"])?,
+            reason: parse_string(&data["reason"])?,
             retry_after_ms: data["retry_after_ms"].as_u64(),
         }),
         (Some(id), FAILED) => Some(ClientEvent::Failed {
             id,
-            reason: text(&data["reason"])?,
+            reason: parse_string(&data["reason"])?,
         }),
         (Some(id), SUPERSEDED) => Some(ClientEvent::Superseded { id }),
         (Some(id), UNKNOWN_SESSION) => Some(ClientEvent::Unknown { id }),
         _ => Some(ClientEvent::Error {
             id,
             code,
-            message: text(&error["message"])?,
+            message: parse_string(&error["message"])?,
         }),
     }
 }
@@ -190,17 +190,17 @@
     }
     Some(ClientEvent::Plays {
         id,
-        session: text(&result["session"])?,
-        media: text(&result["media"])?,
-        rung: rung(&result["rung"])?,
+        session: parse_string(&result["session"])?,
+        media: parse_string(&result["media"])?,
+        rung: parse_rung(&result["rung"])?,
     })
 }
 
-fn text(value: &Value) -> Option<String> {
+fn parse_string(value: &Value) -> Option<String> {
     value.as_str().map(str::to_owned)
 }
 
-fn rung(value: &Value) -> Option<u8> {
+fn parse_rung(value: &Value) -> Option<u8> {
     u8::try_from(value.as_u64()?).ok()
 }
 
--- a/crates/session-api/src/client/tests.rs
+++ b/crates/session-api/src/client/tests.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_front_reads_what_a_player_writes() {
+fn a_front_parses_the_calls_that_a_player_writes() {
     let params = Open {
         key: "k1234567".into(),
         title: "t".into(),
@@ -58,7 +58,7 @@
     );
 }
 
-const CALL: u64 = 7;
+const CALL_ID: u64 = 7;
 
 fn established() -> Answer {
     Answer::Established {
@@ -69,38 +69,38 @@
     }
 }
 
-/// The answer of a front to [`CALL`].
-fn answer_to_call(version: Version, to: &Answer, media: &str, zone: &str) -> Value {
+/// The answer of a front to the call with id [`CALL_ID`].
+fn answer_to_call(version: Version, core_answer: &Answer, media: &str, zone: &str) -> Value {
     answer(
         version,
-        &Id(CALL.into()),
-        to,
+        &Id(CALL_ID.into()),
+        core_answer,
         SessionLocation { media, zone },
     )
 }
 
-fn assert_read_as(message: &Value, want: ClientEvent) {
-    assert_eq!(read(&message.to_string()).unwrap(), vec![want]);
+fn assert_parsed_as(message: &Value, expected: ClientEvent) {
+    assert_eq!(read(&message.to_string()).unwrap(), vec![expected]);
 }
 
 #[test]
-fn a_player_reads_the_answers_that_a_front_writes() {
+fn a_player_parses_the_answers_that_a_front_writes() {
     let plays = ClientEvent::Plays {
-        id: CALL,
+        id: CALL_ID,
         session: "s-3".to_owned(),
         media: "http://x/y".to_owned(),
         rung: 1,
     };
     let rejected = ClientEvent::Refused {
-        id: CALL,
+        id: CALL_ID,
         reason: "no_room".into(),
         retry_after_ms: Some(2),
     };
     let failed = ClientEvent::Failed {
-        id: CALL,
+        id: CALL_ID,
         reason: "broken".into(),
     };
-    for (written, want) in [
+    for (written, expected) in [
         (established(), plays),
         (
             Answer::Rejected {
@@ -110,23 +110,23 @@
             rejected,
         ),
         (Answer::Failed(FailureReason::ConnectionLost), failed),
-        (Answer::Superseded, ClientEvent::Superseded { id: CALL }),
-        (Answer::UnknownSession, ClientEvent::Unknown { id: CALL }),
-        (Answer::Closed, ClientEvent::Closed { id: CALL }),
+        (Answer::Superseded, ClientEvent::Superseded { id: CALL_ID }),
+        (Answer::UnknownSession, ClientEvent::Unknown { id: CALL_ID }),
+        (Answer::Closed, ClientEvent::Closed { id: CALL_ID }),
     ] {
         let message = answer_to_call(Version::V1, &written, "http://x/y", "north");
-        assert_read_as(&message, want);
+        assert_parsed_as(&message, expected);
     }
 }
 
 #[test]
-fn a_player_reads_the_notifications_that_a_front_writes() {
+fn a_player_parses_the_notifications_that_a_front_writes() {
     let session = "s-3".to_owned();
     let ended = Notification::SessionEnded {
         reason: SessionEndReason::ServerLost,
         retry_after: None,
     };
-    for (written, want) in [
+    for (written, expected) in [
         (
             Notification::RungChanged(2),
             ClientEvent::Rung {
@@ -149,18 +149,18 @@
             },
         ),
     ] {
-        assert_read_as(&notification(RequestId(3), written), want);
+        assert_parsed_as(&notification(RequestId(3), written), expected);
     }
 }
 
 #[test]
-fn texts_that_no_front_writes_are_errors() {
+fn texts_that_are_not_messages_of_a_front_are_errors() {
     assert!(read("{}").is_err());
     assert!(read("x").is_err());
 }
 
 #[test]
-fn an_older_version_gets_none_of_what_a_newer_one_adds() {
+fn the_previous_version_contains_no_additions_of_the_current_one() {
     let rejected = Answer::Rejected {
         reason: RejectReason::CrossZoneForbidden,
         retry_after: None,
--- a/crates/session-api/src/jsonrpc.rs
+++ b/crates/session-api/src/jsonrpc.rs
@@ -1,10 +1,10 @@
-//! JSON-RPC 2.0 texts, read and written. The specification: <https://www.jsonrpc.org/specification>.
+//! Parsing and writing of JSON-RPC 2.0 messages, as specified in <https://www.jsonrpc.org/specification>.
 use serde::Serialize;
 use serde_json::{json, Map, Value};
 
 /// Error code: the text is not JSON.
 pub const PARSE_ERROR: i64 = -32700;
-/// Error code: the JSON is not a request.
+/// Error code: the JSON is not a valid request object.
 pub const INVALID_REQUEST: i64 = -32600;
 /// Error code: there is no such method.
 pub const METHOD_NOT_FOUND: i64 = -32601;
@@ -13,32 +13,32 @@
 /// Error code: an internal error of the front.
 pub const INTERNAL_ERROR: i64 = -32603;
 
-/// A call's id, repeated in its answer: a string, a number or null, as received.
+/// The id of a call, which is a string, a number or null. The answer repeats it as it was received.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Id(pub Value);
 
 impl Id {
-    /// The id in an answer to a text that could not be read.
+    /// The id in the answer to a text whose id could not be determined.
     #[must_use]
     pub fn null() -> Id {
         Id(Value::Null)
     }
 }
 
-/// An error object.
+/// The error object of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Error {
-    /// Its code.
+    /// The error code, one of the constants of this module or of [`answers`](crate::answers).
     pub code: i64,
-    /// A short description.
+    /// A short description for people.
     pub message: String,
-    /// Further data; its form depends on the code.
+    /// Further data, whose form depends on the code; `None` if there is none.
     pub data: Option<Value>,
 }
 
 impl Error {
-    /// An error without data.
+    /// Creates an error without data.
     pub fn new(code: i64, message: impl Into<String>) -> Error {
         Error {
             code,
@@ -48,34 +48,34 @@
     }
 }
 
-/// A call; without an id it is a notification and gets no answer.
+/// A call of a method. Without an id it is a notification and gets no answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// The id for the answer.
+    /// The id that the answer repeats; `None` for a notification.
     pub id: Option<Id>,
-    /// The method.
+    /// The name of the method.
     pub method: String,
-    /// Its parameters; null where there are none.
+    /// The parameters of the method; null if there are none.
     pub params: Value,
 }
 
-/// One member of a text: a call, or the error and the id to answer it with.
+/// One member of a text: a valid call, or the id and the error of the answer to an invalid one.
 pub type Member = Result<Call, (Id, Error)>;
 
-/// A text after parsing.
+/// A parsed text.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     /// A single call.
     One(Member),
-    /// A batch of at least one member; its answers go out together.
+    /// A batch of at least one member. Its answers are sent together.
     Batch(Vec<Member>),
 }
 
-fn invalid_request(id: Id, what: &str) -> (Id, Error) {
-    (id, Error::new(INVALID_REQUEST, what))
+fn invalid_request(id: Id, message: &str) -> (Id, Error) {
+    (id, Error::new(INVALID_REQUEST, message))
 }
 
-/// Parses a text.
+/// Parses a text. An invalid one yields members with errors, which the caller sends as answers.
 #[must_use]
 pub fn read(text: &str) -> Message {
     match serde_json::from_str(text) {
@@ -99,12 +99,12 @@
         None => None,
         Some(id @ (Value::String(_) | Value::Number(_) | Value::Null)) => Some(Id(id)),
         Some(_) => {
-            let what = "an id is a string, a number or null";
-            return Err(invalid_request(Id::null(), what));
+            let message = "an id is a string, a number or null";
+            return Err(invalid_request(Id::null(), message));
         }
     };
     let answer_id = id.clone().unwrap_or_else(Id::null);
-    let invalid = |what: &str| Err(invalid_request(answer_id.clone(), what));
+    let invalid = |message: &str| Err(invalid_request(answer_id.clone(), message));
     if fields.get("jsonrpc") != Some(&Value::String("2.0".into())) {
         return invalid("jsonrpc is \"2.0\"");
     }
@@ -118,13 +118,13 @@
     Ok(Call { id, method, params })
 }
 
-/// An answer with a result.
+/// Builds an answer with a result.
 #[must_use]
 pub fn result(id: &Id, result: Value) -> Value {
     json!({"jsonrpc": "2.0", "id": id, "result": result})
 }
 
-/// An answer with an error.
+/// Builds an answer with an error.
 #[must_use]
 pub fn error(id: &Id, error: &Error) -> Value {
     let mut object = Map::new();
@@ -136,7 +136,7 @@
     json!({"jsonrpc": "2.0", "id": id, "error": object})
 }
 
-/// A notification.
+/// Builds a notification, which has no id and gets no answer.
 #[must_use]
 pub fn notification(method: &str, params: Value) -> Value {
     json!({"jsonrpc": "2.0", "method": method, "params": params})
--- a/crates/session-api/src/jsonrpc/tests.rs
+++ b/crates/session-api/src/jsonrpc/tests.rs
@@ -4,9 +4,9 @@
     member.as_ref().unwrap_err().1.code
 }
 
-/// The examples of the specification, section 7, as far as they concern what a server reads.
+/// The examples in section 7 of the specification that concern the messages to a server.
 #[test]
-fn examples_of_the_specification_are_read_as_specified() {
+fn examples_of_the_specification_are_parsed_as_specified() {
     let Message::One(Ok(call)) =
         read(r#"{"jsonrpc":"2.0","method":"subtract","params":[42,23],"id":1}"#)
     else {
@@ -20,7 +20,7 @@
         panic!()
     };
     assert_eq!((call.id, call.params), (None, Value::Null));
-    for (text, want) in [
+    for (text, expected_code) in [
         (
             r#"{"jsonrpc":"2.0","method":"foobar,"params":"bar","baz]"#,
             PARSE_ERROR,
@@ -41,15 +41,15 @@
         let Message::One(member) = read(text) else {
             panic!("{text}")
         };
-        assert_eq!(code(&member), want, "{text}");
+        assert_eq!(code(&member), expected_code, "{text}");
     }
     let Message::Batch(members) = read("[1,2,3]") else {
         panic!()
     };
-    assert!(members.len() == 3 && members.iter().all(|m| code(m) == INVALID_REQUEST));
-    let null = read(r#"{"jsonrpc":"2.0","method":"a","id":null}"#);
+    assert!(members.len() == 3 && members.iter().all(|member| code(member) == INVALID_REQUEST));
+    let with_null_id = read(r#"{"jsonrpc":"2.0","method":"a","id":null}"#);
     assert!(
-        matches!(null, Message::One(Ok(Call { id: Some(_), .. }))),
-        "a null id is an id, if a poor one"
+        matches!(with_null_id, Message::One(Ok(Call { id: Some(_), .. }))),
+        "a null id is an id, so the call is not a notification"
     );
 }
--- a/crates/session-api/src/lib.rs
+++ b/crates/session-api/src/lib.rs
@@ -1,12 +1,13 @@
-//! The session API without I/O: JSON-RPC 2.0 as specified, and the methods and notifications that the specification
-//! leaves open.
+//! The session API between players and a front, without I/O: the message format of JSON-RPC 2.0, and the methods and
+//! notifications that the API defines on top of it.
 //!
-//! - [`jsonrpc`]: texts to calls and back, batches and notifications, the standard errors;
-//! - [`methods`]: `session.open`, `session.resume`, `session.close`, and their parameters;
-//! - [`calls`]: pending calls, batches, and the order in which answers and notifications go out;
-//! - [`messages`]: results, error data and notification parameters, from which the descriptions are generated;
-//! - [`answers`]: results, errors and notifications that a front sends;
-//! - [`client`]: the player's side of the same messages.
+//! - [`jsonrpc`] parses and writes JSON-RPC messages, batches and notifications, and defines the standard errors.
+//! - [`methods`] defines `session.open`, `session.resume` and `session.close` with their parameters.
+//! - [`calls`] tracks pending calls and batches, and the order in which answers and notifications are sent.
+//! - [`messages`] defines the results, error data and notification parameters. The published API descriptions are
+//!   generated from these types.
+//! - [`answers`] builds the results, errors and notifications that a front sends.
+//! - [`client`] is the player's side of the same messages.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 pub mod answers;
@@ -19,9 +20,9 @@
 /// A version of the session API; a front serves the current and the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Version {
-    /// The previous one; the default for a client that offers none.
+    /// The previous version, which is the default for a client that offers none.
     V1,
-    /// The current one: adds the zone that serves a session, and the rejection by a cross-zone budget.
+    /// The current version. It adds the zone that serves a session, and the rejection by a cross-zone budget.
     V2,
 }
 
@@ -29,7 +30,7 @@
     /// All served versions, the current one first.
     pub const SERVED: [Version; 2] = [Version::V2, Version::V1];
 
-    /// The WebSocket subprotocol that carries it.
+    /// The name of the WebSocket subprotocol for this version.
     #[must_use]
     pub fn subprotocol(self) -> &'static str {
         match self {
@@ -38,7 +39,8 @@
         }
     }
 
-    /// The first served version among a client's offers, which come in the client's order of preference (RFC 6455, 1.9).
+    /// The first served version among the subprotocols that a client offers, which are in the client's order of
+    /// preference (RFC 6455, section 1.9). `None` if none of them is served.
     pub fn negotiate<'a>(mut offers: impl Iterator<Item = &'a str>) -> Option<Version> {
         offers.find_map(|offer| {
             Version::SERVED
--- a/crates/session-api/src/messages.rs
+++ b/crates/session-api/src/messages.rs
@@ -1,8 +1,8 @@
-//! Results, error data and notification parameters inside JSON-RPC's envelopes: the codec writes and reads these types,
-//! and the published API descriptions are generated from them.
+//! Results, error data and notification parameters of JSON-RPC messages. These types are written to and read from
+//! messages, and the published API descriptions are generated from them.
 //!
-//! Type names and doc comments here are part of those descriptions, in the API's own wording; variants carry the core's
-//! terms and are renamed for the wire.
+//! Names and doc comments of the types are part of those descriptions and use the wording of the API. Enum variants are
+//! named by the terms of the core, and attributes give them their names in messages.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
--- a/crates/session-api/src/methods.rs
+++ b/crates/session-api/src/methods.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Allowed lengths of an idempotency key in characters. Why a lower bound: a key gives access to its session, so it must
-/// not be guessed.
+/// Allowed lengths of an idempotency key in characters. The lower bound makes keys hard to guess, since a key gives
+/// access to its session.
 pub const KEY_LENGTH: std::ops::RangeInclusive<usize> = 8..=128;
-/// Largest integer that every client's JSON holds exactly (2^53 - 1); larger ones are rejected.
+/// The largest integer that the JSON of every client represents exactly (2^53 - 1). Larger times are rejected.
 pub const MAX_SAFE_INTEGER: u64 = 9_007_199_254_740_991;
 
 /// `session.open`: asks for a session, once for each key.
@@ -76,10 +76,10 @@
 }
 
 impl Method {
-    /// The method of this name with its parameters.
+    /// Parses a call of the method `name` with its parameters.
     ///
     /// # Errors
-    /// There is no such method, or it does not accept these parameters.
+    /// Returns an error if there is no such method, or if the method does not accept these parameters.
     pub fn parse(name: &str, params: Value) -> Result<Method, Error> {
         let params = normalize_params(name, params)?;
         let method = match name {
@@ -133,10 +133,10 @@
     serde_json::from_value(params).map_err(|error| invalid_params(format!("{name}: {error}")))
 }
 
-/// Parameters with numbers without a fraction as integers: JSON has one kind of number, and 3.0 is an integer in the
-/// published schemas.
+/// Converts parameters that are numbers without a fraction to integers, because JSON has only one kind of number, and
+/// 3.0 is an integer according to the published schemas.
 ///
-/// Why a list is rejected: it would be read in the order of fields, which no description states.
+/// An array of parameters is rejected. It would be read in the order of the fields, which no API description states.
 fn normalize_params(name: &str, params: Value) -> Result<Value, Error> {
     match params {
         Value::Object(fields) => {
@@ -149,7 +149,7 @@
     }
 }
 
-/// A number without a fraction as an integer.
+/// Converts a number without a fraction to an integer, if it is from 0 to [`MAX_SAFE_INTEGER`].
 fn normalize_number(value: Value) -> Value {
     if !value.is_f64() {
         return value;
@@ -164,20 +164,20 @@
     }
 }
 
-/// Precedes the number in a session's name on the wire.
+/// Prefix of the number in the name of a session in messages.
 const SESSION_PREFIX: &str = "s-";
 
-/// The session's number from its name on the wire; `None` where it is not such a name.
+/// Parses the number of a session from its name in messages; `None` if the name has another form.
 #[must_use]
 pub fn session_number(name: &str) -> Option<u64> {
     let digits = name.strip_prefix(SESSION_PREFIX)?;
     if digits.starts_with('+') {
-        return None; // `parse` would accept it.
+        return None; // `parse` would accept a leading plus sign.
     }
     digits.parse().ok()
 }
 
-/// The session's name on the wire.
+/// The name of a session in messages.
 #[must_use]
 pub fn session_name(number: u64) -> String {
     format!("{SESSION_PREFIX}{number}")
