--- a/crates/front/src/core/attempts.rs
+++ b/crates/front/src/core/attempts.rs
@@ -1,5 +1,5 @@
 //! Results of attempts: set-ups that started or ended, time-outs, and answer deadlines.
-use super::request::{OutstandingAttempt, Request, RequestPhase, SessionEnd};
+use super::request::{AttemptEnd, OutstandingAttempt, Request, RequestPhase};
 use super::Core;
 use crate::ids::{AttemptId, PlayerId};
 use crate::input::{SendState, SetUpResult};
@@ -108,7 +108,7 @@
         &mut self,
         id: RequestId,
         attempt: AttemptId,
-        end: SessionEnd,
+        end: AttemptEnd,
         out: &mut Vec<Output>,
     ) {
         if end.was_interrupted() {
@@ -185,7 +185,7 @@
             return;
         };
         if request.is_waiting() {
-            self.conclude_attempt(attempt, SessionEnd { outcome, report }, false);
+            self.conclude_attempt(attempt, AttemptEnd { outcome, report }, false);
         }
     }
 
@@ -198,7 +198,7 @@
 
     /// Removes an attempt, whether it established its session or not, and reports its end to the policy exactly once.
     /// With `is_final`, the policy must not retry.
-    pub(super) fn conclude_attempt(&mut self, attempt: AttemptId, end: SessionEnd, is_final: bool) {
+    pub(super) fn conclude_attempt(&mut self, attempt: AttemptId, end: AttemptEnd, is_final: bool) {
         let Some(id) = self.attempts.remove(&attempt) else {
             return;
         };
@@ -230,8 +230,8 @@
 ///
 /// An interrupted session does not play, and its viewer would wait for it forever. The request is not rejected, because
 /// the session ran. A session that has already run to its end is answered as established.
-fn answer_to_set_up(established: Answer, early_end: Option<&SessionEnd>) -> Answer {
-    if early_end.is_some_and(SessionEnd::was_interrupted) {
+fn answer_to_set_up(established: Answer, early_end: Option<&AttemptEnd>) -> Answer {
+    if early_end.is_some_and(AttemptEnd::was_interrupted) {
         Answer::Failed(FailureReason::ConnectionLost)
     } else {
         established
--- a/crates/front/src/core/completion.rs
+++ b/crates/front/src/core/completion.rs
@@ -1,14 +1,14 @@
 //! Ending requests that wait and sessions that play.
-use super::request::{OutstandingAttempt, RequestPhase, SessionEnd};
+use super::request::{AttemptEnd, OutstandingAttempt, RequestPhase};
 use super::Core;
 use crate::keys::RequestOutcome;
 use crate::output::{Answer, Output};
 use crankpaddle::{AttemptOutcome, Event, LoadReport, RequestId};
 
-impl SessionEnd {
+impl AttemptEnd {
     /// An end that was not reported by a server and has no load report.
-    pub(super) fn without_report(outcome: AttemptOutcome) -> SessionEnd {
-        SessionEnd {
+    pub(super) fn without_report(outcome: AttemptOutcome) -> AttemptEnd {
+        AttemptEnd {
             outcome,
             report: LoadReport::new(),
         }
@@ -31,14 +31,14 @@
             return false;
         };
         out.push(Output::TearDown(attempt.id, attempt.server));
-        self.end_playing(id, SessionEnd::without_report(outcome), request_outcome)
+        self.end_playing(id, AttemptEnd::without_report(outcome), request_outcome)
     }
 
     /// Ends a playing session in the core's state, without an output to its server. Returns whether the session played.
     pub(super) fn end_playing(
         &mut self,
         id: RequestId,
-        end: SessionEnd,
+        end: AttemptEnd,
         request_outcome: RequestOutcome,
     ) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
@@ -95,7 +95,7 @@
     ) {
         out.push(Output::AbandonAttempt(attempt.id, attempt.server));
         self.emit(Event::ClientLeft(id));
-        let end = SessionEnd::without_report(AttemptOutcome::Cancelled);
+        let end = AttemptEnd::without_report(AttemptOutcome::Cancelled);
         self.conclude_attempt(attempt.id, end, true);
     }
 
--- a/crates/front/src/core/dispatch.rs
+++ b/crates/front/src/core/dispatch.rs
@@ -5,9 +5,10 @@
 use crankpaddle::{AttemptOutcome, CrossZonePolicy, Event, LoadReport, ServerId, Time};
 
 impl Core {
-    /// Handles `input` at `now` and appends to `out` the outputs that do not depend on the policy: answers that follow
-    /// from those of servers, ends of sessions, and withdrawals. The caller carries them out, handles the other inputs
-    /// that are ready, and then calls [`Core::decide`]. No other method that changes the core may be called in between.
+    /// Handles `input` at `now` and appends to `out` the outputs that do not depend on the policy: answers to requests
+    /// whose servers have answered, ends of sessions, and withdrawals. The caller carries them out, handles the other
+    /// inputs that are ready, and then calls [`Core::decide`]. Between an input and its decision it may only pass
+    /// further inputs to the core.
     ///
     /// The separation from the policy shortens the time until an answer is sent. If an answer waited until the policy
     /// had processed this event and those before it (sizing, promotions), it could reach a viewer that has just left:
--- a/crates/front/src/core/open.rs
+++ b/crates/front/src/core/open.rs
@@ -8,7 +8,7 @@
 use crate::keys::{self, ReopenDecision};
 use crate::output::{Answer, FailureReason, Output, RejectReason};
 use crate::overload::AdmissionDecision;
-use crate::recovery_queue::OpenCall;
+use crate::recovery_queue::ReceivedOpen;
 use crate::timers::TimerEntry;
 use crankpaddle::{Event, SessionRequest, Time};
 use std::time::Duration;
@@ -36,42 +36,47 @@
         received_at: Time,
         out: &mut Vec<Output>,
     ) {
-        let open_call = OpenCall {
+        let received_open = ReceivedOpen {
             call,
             open,
             received_at,
         };
-        self.open(open_call, received_at, out);
+        self.open(received_open, received_at, out);
     }
 
     /// Opens a session. `ready_at` is when the core could first decide on the request: when it was read, or when it
     /// left the recovery queue. Overload is measured from then, because the time in the recovery queue does not show
     /// that this front is slow.
-    pub(super) fn open(&mut self, open_call: OpenCall, ready_at: Time, out: &mut Vec<Output>) {
-        match self.admit_during_recovery(&open_call) {
+    pub(super) fn open(
+        &mut self,
+        received_open: ReceivedOpen,
+        ready_at: Time,
+        out: &mut Vec<Output>,
+    ) {
+        match self.admit_during_recovery(&received_open) {
             RecoveryDecision::Serve => {}
             RecoveryDecision::Queued => return,
             RecoveryDecision::Answered(answer) => {
-                return out.push(Output::Answer(open_call.call, answer));
+                return out.push(Output::Answer(received_open.call, answer));
             }
         }
-        let Some(origin) = self.resolve_key(&open_call, out) else {
+        let Some(origin) = self.resolve_key(&received_open, out) else {
             return;
         };
-        if let Some(rejection) = self.shed_load(open_call.call, ready_at) {
-            return out.push(Output::Answer(open_call.call, rejection));
+        if let Some(rejection) = self.admission_rejection(received_open.call, ready_at) {
+            return out.push(Output::Answer(received_open.call, rejection));
         }
-        self.start_request(open_call, origin);
+        self.start_request(received_open, origin);
     }
 
     /// Looks the key of the request up. Returns `None` if the call was answered or joined the request with this key,
     /// and otherwise the origin of a new request.
     fn resolve_key(
         &mut self,
-        open_call: &OpenCall,
+        received_open: &ReceivedOpen,
         out: &mut Vec<Output>,
     ) -> Option<RequestOrigin> {
-        let open = &open_call.open;
+        let open = &received_open.open;
         let stated_origin = RequestOrigin {
             is_retry: open.is_retry,
             is_migration: open.is_migration,
@@ -84,19 +89,19 @@
         };
         let origin = match keys::decide_reopen(request.key_state(), self.idempotency(open.class)) {
             ReopenDecision::Join | ReopenDecision::Resume => {
-                self.reattach(open_call.call, id, out);
+                self.reattach(received_open.call, id, out);
                 return None;
             }
             ReopenDecision::FailedBefore => {
                 let answer = Answer::Failed(request.failure);
-                out.push(Output::Answer(open_call.call, answer));
+                out.push(Output::Answer(received_open.call, answer));
                 return None;
             }
             ReopenDecision::KeySpent => {
                 // A rejection would state that nothing ran, but this session ran. A player that reconnects after its
                 // server was lost would conclude that it may retry a paid request.
                 let answer = Answer::Failed(FailureReason::KeySpent);
-                out.push(Output::Answer(open_call.call, answer));
+                out.push(Output::Answer(received_open.call, answer));
                 return None;
             }
             ReopenDecision::StartNew => RequestOrigin {
@@ -114,7 +119,7 @@
 
     /// The rejection of a request that the front does not admit because it shuts down or is overloaded; `None` if it
     /// admits the request.
-    fn shed_load(&mut self, call: Call, ready_at: Time) -> Option<Answer> {
+    fn admission_rejection(&mut self, call: Call, ready_at: Time) -> Option<Answer> {
         let reason = if self.draining {
             RejectReason::ShuttingDown
         } else {
@@ -139,12 +144,12 @@
         }
     }
 
-    fn start_request(&mut self, open_call: OpenCall, origin: RequestOrigin) {
-        let OpenCall {
+    fn start_request(&mut self, received_open: ReceivedOpen, origin: RequestOrigin) {
+        let ReceivedOpen {
             call,
             open,
             received_at,
-        } = open_call;
+        } = received_open;
         let id = self.next_request_id();
         let deadlines = self.answer_deadlines(&open, received_at);
         let session_request = SessionRequest {
--- a/crates/front/src/core/request.rs
+++ b/crates/front/src/core/request.rs
@@ -48,12 +48,12 @@
 
 /// How an attempt or its session ended, with the server's load report.
 #[derive(Debug)]
-pub(super) struct SessionEnd {
+pub(super) struct AttemptEnd {
     pub(super) outcome: AttemptOutcome,
     pub(super) report: LoadReport,
 }
 
-impl SessionEnd {
+impl AttemptEnd {
     /// Whether the session was interrupted before it ran to its end.
     pub(super) fn was_interrupted(&self) -> bool {
         self.outcome != AttemptOutcome::Completed
@@ -67,7 +67,7 @@
     pub(super) key: String,
     /// The call that gets the answer; `None` if it was answered, or if its player disconnected.
     pub(super) call: Option<Call>,
-    /// The player that the request is attached to; `None` while it is disconnected, and once the request has ended.
+    /// The player that the request is attached to; `None` while no connected player has it, and once it has ended.
     pub(super) player: Option<PlayerId>,
     /// Number of times that its player disconnected. It identifies the resume timer of the latest disconnect.
     pub(super) disconnects: u32,
@@ -79,7 +79,7 @@
     pub(super) rung: u8,
     pub(super) attempt_count: u8,
     /// The end of the session, if it was received before the answer to the set-up.
-    pub(super) early_end: Option<SessionEnd>,
+    pub(super) early_end: Option<AttemptEnd>,
     /// The updates of the session that were received before the answer to the set-up.
     pub(super) early_updates: Vec<SessionUpdate>,
     /// When the viewer gives up.
--- a/crates/front/src/core/sessions.rs
+++ b/crates/front/src/core/sessions.rs
@@ -1,5 +1,5 @@
 //! Reports of servers on playing sessions, and the rate caps of sessions.
-use super::request::{RequestPhase, SessionEnd};
+use super::request::{AttemptEnd, RequestPhase};
 use super::Core;
 use crate::ids::{AttemptId, PlayerId};
 use crate::input::RateCap;
@@ -51,7 +51,7 @@
         let Some((id, request)) = self.request_of(attempt) else {
             return;
         };
-        let end = SessionEnd { outcome, report };
+        let end = AttemptEnd { outcome, report };
         if request.is_waiting() {
             // The answer and the end arrive on two connections, or together. If an end that overtakes its answer were
             // dropped, the session would count as playing forever.
--- a/crates/front/src/core/shutdown.rs
+++ b/crates/front/src/core/shutdown.rs
@@ -11,7 +11,7 @@
     pub(super) fn stop(&mut self, out: &mut Vec<Output>) {
         self.draining = true;
         for queued in self.recovery_queue.take_all() {
-            self.answer_queued(&queued.open_call, out);
+            self.answer_queued(&queued.received_open, out);
         }
         let requests: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in requests {
--- a/crates/front/src/core/startup_recovery.rs
+++ b/crates/front/src/core/startup_recovery.rs
@@ -5,7 +5,7 @@
 use crate::jitter::jitter;
 use crate::output::{Answer, FailureReason, Output, RejectReason};
 use crate::overload::{retry_after_from_ns, AdmissionDecision};
-use crate::recovery_queue::{OpenCall, QueuedOpen};
+use crate::recovery_queue::{QueuedOpen, ReceivedOpen};
 use crate::timers::TimerEntry;
 use crankpaddle::Event;
 use crankpaddle_recovery::{ConservativeBound, RecoveryAdmission, RecoveryStage, StagedRecovery};
@@ -121,35 +121,41 @@
             return;
         }
         for queued in self.recovery_queue.take_all() {
-            self.open(queued.open_call, self.now, out);
+            self.open(queued.received_open, self.now, out);
         }
     }
 
     /// Decides how to handle an open request while the front recovers.
-    pub(super) fn admit_during_recovery(&mut self, open_call: &OpenCall) -> RecoveryDecision {
-        let is_paid = self.is_paid(open_call.open.class);
+    pub(super) fn admit_during_recovery(
+        &mut self,
+        received_open: &ReceivedOpen,
+    ) -> RecoveryDecision {
+        let is_paid = self.is_paid(received_open.open.class);
         match self.staged_recovery.admit(self.now, is_paid) {
             RecoveryAdmission::Serve => RecoveryDecision::Serve,
-            RecoveryAdmission::Queue => self.queue_for_recovery(open_call),
+            RecoveryAdmission::Queue => self.queue_for_recovery(received_open),
             RecoveryAdmission::RetryLater { after, over } => {
-                if self.keys.contains_key(&SessionKey::from(&open_call.open)) {
+                if self
+                    .keys
+                    .contains_key(&SessionKey::from(&received_open.open))
+                {
                     // Its key is known: a playing session is reattached, and an ended one is answered by its outcome.
                     return RecoveryDecision::Serve;
                 }
                 let jitter =
-                    jitter(open_call.call.player.0.rotate_left(32) ^ open_call.call.number);
+                    jitter(received_open.call.player.0.rotate_left(32) ^ received_open.call.number);
                 let retry_after_ns = nanoseconds(after)
                     .saturating_add((nanoseconds(over) as f64 * jitter) as u64)
                     .min(self.settings.max_retry_after);
                 let answer =
-                    self.unserved_answer(&open_call.open, retry_after_from_ns(retry_after_ns));
+                    self.unserved_answer(&received_open.open, retry_after_from_ns(retry_after_ns));
                 RecoveryDecision::Answered(answer)
             }
         }
     }
 
-    fn queue_for_recovery(&mut self, open_call: &OpenCall) -> RecoveryDecision {
-        let call = open_call.call;
+    fn queue_for_recovery(&mut self, received_open: &ReceivedOpen) -> RecoveryDecision {
+        let call = received_open.call;
         let pending = self.waiting();
         let pending_of_player =
             self.recovery_queue.count_of(call.player) + self.waiting_count_of(call.player);
@@ -163,9 +169,9 @@
             };
             return RecoveryDecision::Answered(answer);
         }
-        let deadlines = self.answer_deadlines(&open_call.open, open_call.received_at);
+        let deadlines = self.answer_deadlines(&received_open.open, received_open.received_at);
         self.recovery_queue.push(QueuedOpen {
-            open_call: open_call.clone(),
+            received_open: received_open.clone(),
             deadline: deadlines.answer_deadline,
         });
         self.timers
@@ -192,19 +198,19 @@
     }
 
     /// Answers a request that left the recovery queue without being served.
-    pub(super) fn answer_queued(&self, open_call: &OpenCall, out: &mut Vec<Output>) {
-        let call = open_call.call;
+    pub(super) fn answer_queued(&self, received_open: &ReceivedOpen, out: &mut Vec<Output>) {
+        let call = received_open.call;
         let retry_after = self
             .overload
             .retry_after(jitter(call.player.0 ^ call.number));
-        let answer = self.unserved_answer(&open_call.open, retry_after);
+        let answer = self.unserved_answer(&received_open.open, retry_after);
         out.push(Output::Answer(call, answer));
     }
 
     /// Answers the queued requests whose deadlines have come.
     pub(super) fn answer_due_in_queue(&mut self, out: &mut Vec<Output>) {
         for queued in self.recovery_queue.take_due(self.now) {
-            self.answer_queued(&queued.open_call, out);
+            self.answer_queued(&queued.received_open, out);
         }
     }
 }
--- a/crates/front/src/keys.rs
+++ b/crates/front/src/keys.rs
@@ -1,9 +1,9 @@
 //! The meaning of an idempotency key that a player sends again.
 //!
 //! A key names one session. A player that lost its connection sends the key again and gets its pending request, its
-//! session or the earlier answer. A second set-up never follows for a paid class once the first one may have run,
-//! because the viewer would be billed twice. The disadvantage is that a player that uses one key for all its sessions
-//! cannot buy another one until the retention of the key is over; the answer states this.
+//! session or the earlier answer, but never a second set-up, because for a paid class the viewer would be billed twice.
+//! The disadvantage is that a player that uses one key for all its sessions cannot buy another one until the retention
+//! of the key is over; the answer states this.
 use crankpaddle::{AttemptOutcome, Idempotency};
 
 /// How a request ended.
--- a/crates/front/src/output.rs
+++ b/crates/front/src/output.rs
@@ -114,7 +114,7 @@
 /// An action for the driver of a core, which carries the outputs out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Answer a call. Each call gets exactly one answer.
+    /// Answer a call. This is its only answer.
     Answer(Call, Answer),
     /// Send a notification about a session to its player.
     Notify(PlayerId, RequestId, Notification),
--- a/crates/front/src/overload.rs
+++ b/crates/front/src/overload.rs
@@ -33,7 +33,7 @@
     pub max_pending_per_player: usize,
     /// Shortest latency objective of all classes.
     pub latency_objective: Duration,
-    /// Maximum of the Retry-After.
+    /// Longest Retry-After that players follow; a longer one is never given.
     pub max_retry_after: Duration,
 }
 
--- a/crates/front/src/overload/tests.rs
+++ b/crates/front/src/overload/tests.rs
@@ -13,11 +13,16 @@
 }
 
 /// Requests `count` admissions, one per millisecond, each after the same wait. Returns how many were admitted.
-fn count_admitted(detector: &mut OverloadDetector, from: u64, count: u64, wait: u64) -> usize {
+fn count_admitted(
+    detector: &mut OverloadDetector,
+    from_ns: u64,
+    count: u64,
+    wait_ns: u64,
+) -> usize {
     let is_admitted = |index: &u64| {
-        let now = from + index * MILLISECOND;
-        let received_at = Time(now.saturating_sub(wait));
-        detector.admit(Time(now), received_at, 0, 0) == AdmissionDecision::Admit
+        let now_ns = from_ns + index * MILLISECOND;
+        let received_at = Time(now_ns.saturating_sub(wait_ns));
+        detector.admit(Time(now_ns), received_at, 0, 0) == AdmissionDecision::Admit
     };
     (0..count).filter(is_admitted).count()
 }
--- a/crates/front/src/recovery_queue.rs
+++ b/crates/front/src/recovery_queue.rs
@@ -7,7 +7,7 @@
 
 /// A player's request for a session, with the call that gets the answer.
 #[derive(Clone, Debug)]
-pub(crate) struct OpenCall {
+pub(crate) struct ReceivedOpen {
     pub call: Call,
     pub open: OpenRequest,
     /// When the message was read off the socket.
@@ -17,7 +17,7 @@
 /// A queued request.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedOpen {
-    pub open_call: OpenCall,
+    pub received_open: ReceivedOpen,
     /// When the request must be answered.
     pub deadline: Time,
 }
@@ -39,7 +39,7 @@
     pub(crate) fn count_of(&self, player: PlayerId) -> usize {
         self.0
             .iter()
-            .filter(|queued| queued.open_call.call.player == player)
+            .filter(|queued| queued.received_open.call.player == player)
             .count()
     }
 
@@ -61,6 +61,6 @@
     /// Removes the requests of a player that left or disconnected; they get no answer.
     pub(crate) fn remove_player(&mut self, player: PlayerId) {
         self.0
-            .retain(|queued| queued.open_call.call.player != player);
+            .retain(|queued| queued.received_open.call.player != player);
     }
 }
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -2,9 +2,13 @@
 use crankpaddle::{Class, Idempotency};
 use crankpaddle_front::Settings;
 
+/// In nanoseconds.
 pub(crate) const MILLISECOND: u64 = 1_000_000;
+/// In nanoseconds.
 pub(crate) const SECOND: u64 = 1000 * MILLISECOND;
+/// The class whose set-ups are idempotent.
 pub(crate) const FREE: u8 = 0;
+/// The class whose set-ups are billed and must run at most once.
 pub(crate) const PAID: u8 = 1;
 
 pub(crate) fn settings() -> Settings {
--- a/crates/front/tests/drive/harness.rs
+++ b/crates/front/tests/drive/harness.rs
@@ -38,8 +38,8 @@
         self.decision_draws = Some(oorandom::Rand32::new(seed));
     }
 
-    /// Handles an input, and lets the policy decide unless decisions are drawn and this draw is negative. Returns the
-    /// outputs.
+    /// Handles an input, then lets the policy decide, and returns the outputs. After [`Harness::decide_in_batches`] the
+    /// policy decides only if the draw says so.
     pub(crate) fn handle(&mut self, input: Input) -> Vec<Output> {
         self.core.handle_input(self.now, input, &mut self.outputs);
         let decides = self
