--- a/crates/daemon/src/attempt_sender.rs
+++ b/crates/daemon/src/attempt_sender.rs
@@ -1,5 +1,6 @@
-//! Sends set-ups to servers, each in a coroutine of its own, over a connection of its own while it lasts.
-use crate::message::Message;
+//! Sends set-ups to servers. Each set-up has its own coroutine, and a connection that it shares with no other set-up
+//! while it lasts.
+use crate::message::EventLoopMessage;
 use crate::shared::Shared;
 use crankpaddle_front::{AttemptId, AttemptOutcome, SetUpResult};
 use crankpaddle_net::exchange::{ExchangeError, HttpExchange};
@@ -9,7 +10,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Largest body of a response.
+/// Largest accepted body of a response.
 const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
 
 /// A set-up that is ready to be sent.
@@ -20,7 +21,7 @@
     pub handle: Arc<AttemptHandle>,
 }
 
-/// An attempt in flight, so that it can be abandoned.
+/// Lets the event loop abandon an attempt in flight.
 #[derive(Default)]
 pub(crate) struct AttemptHandle(Mutex<AttemptState>);
 
@@ -33,14 +34,14 @@
 }
 
 impl AttemptHandle {
-    /// Ends the attempt: what was not written yet never will be, and the answer is not waited for.
+    /// Ends the attempt: the part of the request that is not written yet is never written, and the answer is ignored.
     pub(crate) fn abandon(&self) {
         if let AttemptState::InFlight(socket) = self.complete() {
             socket.close(CloseReason::NotNeeded);
         }
     }
 
-    /// Takes the connection that the attempt is sent over; false if it was abandoned before.
+    /// Records the connection that the attempt is sent over. Returns false if the attempt was abandoned before.
     fn send_over(&self, socket: &Arc<Socket>) -> bool {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let is_connecting = matches!(*state, AttemptState::Connecting);
@@ -50,12 +51,12 @@
         is_connecting
     }
 
-    /// The answer was received; false if the attempt was abandoned before.
+    /// Records that the answer was received. Returns false if the attempt was abandoned before.
     fn answered(&self) -> bool {
         matches!(self.complete(), AttemptState::InFlight(_))
     }
 
-    /// Ends the attempt; returns its state before.
+    /// Ends the attempt and returns its previous state.
     fn complete(&self) -> AttemptState {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::replace(&mut state, AttemptState::Completed)
@@ -66,7 +67,7 @@
 pub(crate) fn send(shared: Arc<Shared>, attempt: AttemptId, request: SetUpRequest) {
     spawn(Stack::Usual, move || {
         let result = perform(&shared, &request);
-        shared.send(Message::SetUpCompleted { attempt, result });
+        shared.send(EventLoopMessage::SetUpCompleted { attempt, result });
     });
 }
 
@@ -78,8 +79,8 @@
     if !request.handle.send_over(&socket) {
         return ended(AttemptOutcome::NotSent);
     }
-    // "Never ran" is claimed only where nothing of the request was written: one byte of it may have been
-    // enough.
+    // A failed write counts as a failed connection, which proves that the set-up never ran, only if no byte of the
+    // request was written. After that the server may have received enough of it.
     if let Err(error) = socket.write_all(&request.bytes) {
         return ended(if error.written == 0 {
             AttemptOutcome::ConnectFailed
--- a/crates/daemon/src/backoff.rs
+++ b/crates/daemon/src/backoff.rs
@@ -1,10 +1,10 @@
-//! Exponential backoff.
+//! Exponential backoff between retries.
 use std::time::Duration;
 
-/// Doublings that are computed at most; every maximum in this crate is reached with fewer.
+/// Most doublings that are computed, so that the factor can't overflow. Each maximum in this crate is reached with fewer.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// A pause between attempts that doubles with each consecutive failure, up to a maximum.
+/// A pause between retries that doubles with each consecutive failure, up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExponentialBackoff {
     pub(crate) initial: Duration,
--- a/crates/daemon/src/config_lookup.rs
+++ b/crates/daemon/src/config_lookup.rs
@@ -1,18 +1,18 @@
-//! From the configuration's names to the core's numbers and back.
+//! Conversion between the configuration's names and the core's numbers.
 use crankpaddle::Idempotency;
 use crankpaddle_config::Config;
 
-/// The name with this number; empty where there is none.
+/// The name with this number; empty if there is none.
 pub(crate) fn name_at(names: &[String], index: usize) -> String {
     names.get(index).cloned().unwrap_or_default()
 }
 
-/// The number of a name; `None` where it is not configured.
+/// The number of a name; `None` if the name is not configured.
 pub(crate) fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
-/// A tenant's number. Without any configured tenant the empty name is the only one.
+/// The number of a tenant; `None` if it is not configured. If no tenant is configured at all, the empty name has number 0.
 pub(crate) fn tenant_index(config: &Config, name: &str) -> Option<u16> {
     if name.is_empty() && config.tenants.is_empty() {
         return Some(0);
--- a/crates/daemon/src/connection_pool.rs
+++ b/crates/daemon/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to servers, kept for the next attempt.
+//! A pool of idle connections to servers, reused for later attempts.
 use crankpaddle_net::{clock, Socket};
 use crankpaddle_time::Time;
 use std::collections::HashMap;
@@ -8,18 +8,20 @@
 
 type IdleConnections = HashMap<SocketAddr, Vec<Arc<Socket>>>;
 
-/// Idle connections by server. The lock is never held over a wait.
+/// Idle connections by the server's address. The lock is never held across a wait.
 #[derive(Default)]
 pub(crate) struct ConnectionPool(Mutex<IdleConnections>);
 
 impl ConnectionPool {
-    /// An idle connection, if there is one. The one used last is taken first, so that the others expire.
+    /// Takes an idle connection from the pool, if there is one. The most recently used one is taken first, so that the
+    /// others can expire.
     pub(crate) fn take(&self, address: &SocketAddr) -> Option<Arc<Socket>> {
         let mut idle = self.lock();
         let sockets = idle.get_mut(address)?;
         while let Some(socket) = sockets.pop() {
-            // Why it is checked right before use: a server closes idle connections too, and what is written
-            // into a closed one may have run as far as is known here, so that a paid set-up would be lost.
+            // Checked right before use, because a server may have closed the idle connection meanwhile. If a paid
+            // set-up were written to such a connection, the front could not rule out that it ran, and it would fail
+            // instead of being retried.
             if socket.is_idle() {
                 socket.set_expiry(Time::MAX);
                 return Some(socket);
@@ -29,7 +31,7 @@
         None
     }
 
-    /// Keeps a connection for `idle_timeout`.
+    /// Returns a connection to the pool; it is closed after `idle_timeout`.
     pub(crate) fn put(&self, address: SocketAddr, socket: Arc<Socket>, idle_timeout: Duration) {
         socket.set_expiry(clock::now() + idle_timeout);
         let mut idle = self.lock();
@@ -38,7 +40,7 @@
         sockets.push(socket);
     }
 
-    /// Removes connections that were closed.
+    /// Removes closed connections from the pool.
     pub(crate) fn prune(&self) {
         self.lock().retain(|_, sockets| {
             sockets.retain(|socket| !socket.is_closed());
--- a/crates/daemon/src/errors.rs
+++ b/crates/daemon/src/errors.rs
@@ -1,4 +1,4 @@
-//! Why a front does not start or does not take over a configuration, and what an operator can do.
+//! Errors for operators: why a front does not start or does not apply a changed configuration, and what to do.
 use miette::Diagnostic;
 use std::io;
 use std::net::SocketAddr;
@@ -11,38 +11,38 @@
 /// Why a front does not start.
 #[derive(Debug, Error, Diagnostic)]
 pub enum StartError {
-    /// An address can't be listened on.
-    #[error("{address}: {source}")]
+    /// The front can't listen on an address.
+    #[error("can't listen on {address}: {source}")]
     #[diagnostic(
         code(front::listen),
-        help("another process may listen there, or the address is none of this host's; see front.listen and peers.listen")
+        help("another process may be listening on this address, or the address does not belong to this host; see front.listen and peers.listen")
     )]
     Listen {
-        /// The address.
+        /// The address from the configuration.
         address: SocketAddr,
         /// The operating system's error.
         source: io::Error,
     },
-    /// A file that a previous incarnation saved can't be read, or is not this front's.
+    /// A file that a previous incarnation saved can't be read, or belongs to another front.
     #[error("{}: {source}", path.display())]
     #[diagnostic(
         code(front::kept), // The code is in published pages, so it stays.
-        help("give the front the file that it wrote, or move this one away to begin anew; see front.list_cache and front.traffic_file")
+        help("set the path to the file that this front wrote, or move the file away to start without it; see front.list_cache and front.traffic_file")
     )]
     SavedFile {
-        /// The file.
+        /// The path from the configuration.
         path: PathBuf,
         /// What is wrong with it.
         source: SavedFileError,
     },
-    /// A key can't be used.
+    /// A key file can't be used.
     #[error("{}: {source}", path.display())]
     #[diagnostic(
         code(front::key),
-        help("the file must hold 32 hex digits, the same on all fronts of the fleet; head -c 16 /dev/urandom | xxd -p makes one")
+        help("the file must hold 32 hex digits, the same on all fronts of the fleet; create one with: head -c 16 /dev/urandom | xxd -p")
     )]
     Key {
-        /// The file.
+        /// The path from the configuration.
         path: PathBuf,
         /// What is wrong with it.
         source: KeyFileError,
@@ -56,41 +56,41 @@
 /// What is wrong with a file that a previous incarnation saved.
 #[derive(Debug, Error)]
 pub enum SavedFileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// It holds no traffic account.
-    #[error("no account of traffic: {0}")]
-    NotATrafficAccount(#[from] serde_json::Error),
-    /// It is the traffic account of another front.
-    #[error("is the account of front {front}, not of this one")]
+    /// The file holds no valid traffic report.
+    #[error("not a valid traffic report: {0}")]
+    NotATrafficReport(#[from] serde_json::Error),
+    /// The file is the traffic report of another front.
+    #[error("this is the traffic report of the front with index {front}, not of this front")]
     OtherFront {
-        /// The number of the front that wrote it.
+        /// The index of the front that wrote it (`front.index`).
         front: u32,
     },
 }
 
-/// What is wrong with a key's file.
+/// What is wrong with a key file.
 #[derive(Debug, Error)]
 pub enum KeyFileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// It holds something else than a key.
-    #[error("is no key: 32 hex digits are wanted")]
+    /// The file holds anything but 32 hexadecimal digits.
+    #[error("not a valid key: 32 hex digits are required")]
     Malformed,
 }
 
-/// Why the budgets of another configuration are not taken over while the front runs; those in force stay.
+/// Why the budgets of another configuration can't be applied while the front runs. The current budgets stay in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{changed}: changed, which needs a restart; the budgets in force stay")]
+#[error("{changed}: a change requires a restart of the front; the current budgets stay in force")]
 pub struct BudgetChangeError {
-    /// The settings that differ and that the budgets build on.
+    /// The settings that differ and that the budgets depend on.
     pub changed: &'static str,
 }
 
 impl StartError {
-    /// One of each kind, for `docs/errors.md`.
+    /// A sample of each kind of error, for `docs/errors.md`.
     #[must_use]
     pub fn samples() -> Vec<StartError> {
         let mut samples = vec![
--- a/crates/daemon/src/errors/tests.rs
+++ b/crates/daemon/src/errors/tests.rs
@@ -1,4 +1,4 @@
-//! Samples of each kind of error.
+//! Tests that each kind of error has a sample for the documentation, a code and advice.
 use super::*;
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
     assert_eq!(
         kinds.into_iter().collect::<Vec<_>>(),
         [0, 1, 2, 3],
-        "a kind has no sample"
+        "a kind of error has no sample"
     );
     for error in samples {
         assert!(error.code().is_some(), "{error}");
--- a/crates/daemon/src/event_loop/attempts.rs
+++ b/crates/daemon/src/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of an attempt between its set-up and its end.
+//! The life of an attempt after it was started: the result of its set-up, the end of its session, its release.
 use super::{EventLoop, LiveAttempt};
 use crankpaddle_cross_zone_traffic::traffic_controller::AttemptEnd;
 use crankpaddle_front::{keys, AttemptId, AttemptOutcome, Input, SetUpResult};
@@ -6,7 +6,8 @@
 use crankpaddle_recovery::intents::AttemptResult;
 
 impl EventLoop {
-    /// A server answered a set-up, or the attempt failed; ignored where the attempt was released before.
+    /// Handles a server's answer to a set-up, or the failure of the attempt. An attempt that was released meanwhile
+    /// is ignored.
     pub(super) fn set_up_completed(&mut self, attempt: AttemptId, result: SetUpResult) {
         let Some(live) = self.attempts.get(&attempt) else {
             return;
@@ -37,7 +38,7 @@
         self.handle_core_input(Input::SetUpCompleted(attempt, result));
     }
 
-    /// A session ended at its server.
+    /// Handles the end of a session at its server.
     pub(super) fn end_session(
         &mut self,
         attempt: AttemptId,
@@ -45,8 +46,8 @@
         end: AttemptEnd,
     ) {
         self.handle_core_input(Input::SessionEnded(attempt, outcome, Vec::new()));
-        // An end that overtook the answer to its set-up belongs to an attempt in flight; it is released with
-        // that answer.
+        // The event stream may report the end of a session before the answer to its set-up arrives. The attempt is
+        // then still in flight and is released when that answer is handled.
         if self.is_established(attempt) {
             self.release(attempt, end);
         }
@@ -59,7 +60,7 @@
             .is_some_and(|state| state.connection.has_session(attempt))
     }
 
-    /// Removes an attempt or session that is over at its server.
+    /// Removes an attempt or session that is over at its server, and returns it unless it was removed before.
     pub(super) fn release(&mut self, attempt: AttemptId, end: AttemptEnd) -> Option<LiveAttempt> {
         let live = self.attempts.remove(&attempt)?;
         self.attempt_ids.remove(&live.name);
@@ -75,7 +76,7 @@
     }
 }
 
-/// What the result of a set-up proves about whether it ran.
+/// What the result of a set-up proves about whether the server executed it.
 fn proven_result(result: &SetUpResult) -> AttemptResult {
     match result {
         SetUpResult::Started(_) => AttemptResult::Established,
--- a/crates/daemon/src/event_loop/durable_setup.rs
+++ b/crates/daemon/src/event_loop/durable_setup.rs
@@ -1,8 +1,8 @@
-//! Paid set-ups: the intent is on disk before the attempt is sent, and the result is written after it.
+//! Paid set-ups: the intent is on disk before the attempt is sent, and the result is written when it is known.
 use super::EventLoop;
 use crate::attempt_sender::{self, SetUpRequest};
 use crate::config_lookup::{is_paid_class, name_at};
-use crate::message::Message;
+use crate::message::EventLoopMessage;
 use crankpaddle_front::{
     AttemptId, AttemptOutcome, Input, RecoveryStage, SendState, ServerId, SetUpOrder, SetUpResult,
 };
@@ -10,14 +10,15 @@
 use crankpaddle_recovery::{Key, Reconciliation, StoreWrite};
 use crankpaddle_store::WriteRequest;
 
-/// Keys of ended set-ups pruned in one round of maintenance, so that no round takes long.
-const PRUNED_PER_ROUND: usize = 200;
-/// The uptime is written once in this number of maintenance rounds, so that a power loss loses a few seconds of
-/// it.
+/// Most keys of ended set-ups that are pruned in one round of maintenance, so that no round takes long.
+const MAX_PRUNED_KEYS_PER_ROUND: usize = 200;
+/// Maintenance rounds between two writes of the uptime. A power loss loses the uptime since the last write, which
+/// is a few seconds.
 const ROUNDS_PER_UPTIME_WRITE: u64 = 10;
 
 impl EventLoop {
-    /// Sends an attempt: at once, or if it is paid, when its intent is on disk.
+    /// Sends an attempt. If the class is paid and a store is configured, the attempt waits until its intent is on
+    /// disk; otherwise it is sent at once.
     pub(super) fn send_attempt(
         &mut self,
         attempt: AttemptId,
@@ -30,7 +31,7 @@
             return attempt_sender::send(self.shared.clone(), attempt, request);
         }
         if !self.submit_intent(attempt, server, order, request) {
-            self.shared.send(Message::IntentWritten {
+            self.shared.send(EventLoopMessage::IntentWritten {
                 attempt,
                 is_durable: false,
             });
@@ -69,7 +70,7 @@
         writer.is_some_and(|writer| writer.submit(write))
     }
 
-    /// The known incarnation of a server; empty if none is known.
+    /// The last known incarnation of a server; empty if none is known.
     pub(super) fn incarnation_of(&self, server: ServerId) -> String {
         let state = self.servers.get(&server);
         let incarnation = state.and_then(|state| state.connection.incarnation());
@@ -89,13 +90,14 @@
             self.handle_core_input(Input::SendStateChanged(attempt, SendState::Sent));
             attempt_sender::send(self.shared.clone(), attempt, request);
         } else {
-            // Why it is never sent: a power loss would erase all knowledge of it, and it would be sold again.
+            // Without the intent on disk, a power loss would erase all knowledge of the attempt, and the same key
+            // could be set up and billed a second time.
             let result = SetUpResult::Ended(AttemptOutcome::NotSent, Vec::new());
             self.set_up_completed(attempt, result);
         }
     }
 
-    /// Records the result of an attempt, or the end of its session, in ledger and store.
+    /// Records the result of an attempt, or the end of its session, in the ledger and the store.
     pub(super) fn record_attempt_result(
         &mut self,
         attempt: AttemptId,
@@ -105,7 +107,7 @@
         let Some(durable) = &mut self.durable else {
             return;
         };
-        // An attempt that still waited for the disk is never sent.
+        // An attempt whose intent was not on disk yet was never sent, and is not sent any more.
         let was_pending = durable.pending_sends.remove(&attempt).is_some();
         let result = if was_pending {
             AttemptResult::NeverRan
@@ -117,6 +119,8 @@
         durable.write(write);
     }
 
+    /// Runs one round of maintenance of the store: retries servers, prunes keys, writes the uptime and the fleet
+    /// size.
     pub(super) fn maintain_durable_state(&mut self) {
         self.retry_unreachable_servers();
         let Some(durable) = &mut self.durable else {
@@ -124,7 +128,7 @@
         };
         durable.maintenance_rounds += 1;
         let uptime = durable.uptime();
-        let mut writes = durable.ledger.prune(uptime, PRUNED_PER_ROUND);
+        let mut writes = durable.ledger.prune(uptime, MAX_PRUNED_KEYS_PER_ROUND);
         if durable
             .maintenance_rounds
             .is_multiple_of(ROUNDS_PER_UPTIME_WRITE)
@@ -140,7 +144,7 @@
         durable.write(writes);
     }
 
-    /// While recovery lasts or paid keys are unresolved, servers that could not be reached are tried again.
+    /// Retries the reconciliation with unreachable servers while recovery lasts or paid keys are unresolved.
     fn retry_unreachable_servers(&mut self) {
         let is_recovering = self.core.stage() < RecoveryStage::Normal;
         let unresolved = self.reconcile(|state: &mut Reconciliation| state.unresolved_count());
--- a/crates/daemon/src/event_loop/endpoints.rs
+++ b/crates/daemon/src/event_loop/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: from the list service to the core, the links and the copy on disk.
+//! Handles endpoint lists: passes them to the core, opens links to new servers, and saves a copy on disk.
 use super::EventLoop;
 use crate::server_link::ServerLink;
 use crankpaddle_front::{Endpoint, EndpointListKind, Input, Lifecycle};
@@ -30,7 +30,7 @@
         self.apply_endpoints(EndpointListKind::Failed, Vec::new());
     }
 
-    /// The entries in the core's terms; those of an unknown zone or kind are left out.
+    /// Converts list entries to the core's endpoints; entries of an unknown zone or kind are logged and left out.
     pub(super) fn resolve_endpoints(&self, entries: &[EndpointEntry]) -> Vec<Endpoint> {
         let config = &self.shared.config;
         let mut endpoints = Vec::with_capacity(entries.len());
@@ -48,6 +48,7 @@
         endpoints
     }
 
+    /// Applies endpoints to links and traffic accounting, and passes them to the core unless they are deferred.
     pub(super) fn apply_endpoints(&mut self, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
         for endpoint in &endpoints {
             self.apply_endpoint(endpoint);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Gives a listed server a link, or a new one where its address changed.
+    /// Opens a link to a listed server; one whose address changed gets a new link.
     fn apply_endpoint(&mut self, endpoint: &Endpoint) {
         let is_present = endpoint.lifecycle != Lifecycle::Removed;
         let mut entries = self.endpoints.servers().iter();
--- a/crates/daemon/src/event_loop/maintenance.rs
+++ b/crates/daemon/src/event_loop/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic maintenance: links, the connection pool, budgets, the traffic account and the store.
+//! Periodic maintenance of links, the connection pool, budgets, the saved traffic report and the store.
 use super::EventLoop;
 use crankpaddle_front::{AttemptId, Input, RateCap, Time};
 use crankpaddle_net::clock;
@@ -17,8 +17,8 @@
         self.maintain_durable_state();
     }
 
-    /// Applies the budgets of cross-zone traffic: caps rates of sessions, sets policies of classes, and subscribes
-    /// to the reports of servers.
+    /// Enforces the budgets of cross-zone traffic: caps or uncaps the rates of sessions, updates the policies of
+    /// classes, and subscribes to the reports of servers.
     fn enforce_budgets(&mut self, now: Time) {
         let changes = self.traffic.controller.tick(now);
         self.cap_rates(&changes.cap, RateCap::LowestRung);
@@ -26,7 +26,7 @@
         self.apply_cross_zone_policy();
         self.update_report_subscriptions(now);
         self.traffic.start_settlement();
-        self.save_traffic_account();
+        self.save_traffic_report();
     }
 
     fn cap_rates(&mut self, sessions: &[u64], cap: RateCap) {
@@ -37,19 +37,19 @@
         }
     }
 
-    /// Subscribes to servers without sessions whose reports are needed: for budgets, or because the list service
-    /// does not report their starts.
+    /// Subscribes to servers without sessions whose reports are needed, either for budgets or because the list
+    /// service is unavailable and does not report server starts.
     fn update_report_subscriptions(&mut self, now: Time) {
         let zones = self.traffic.controller.zones_observed(now);
         for (server, state) in &self.servers {
             let Some(link) = &state.link else { continue };
-            let is_wanted =
+            let needs_reports =
                 self.is_list_unavailable || self.traffic.controller.is_in_zones(server.0, &zones);
-            link.want_reports(&self.shared, is_wanted);
+            link.set_needs_reports(&self.shared, needs_reports);
         }
     }
 
-    /// Notifies the core of changes of how classes may be served from other zones.
+    /// Notifies the core of changed policies: how each class may be served from other zones.
     pub(super) fn apply_cross_zone_policy(&mut self) {
         for change in self.traffic.controller.policy_changes(clock::now()) {
             let (zone, class, policy) = (change.zone, change.class, change.policy);
@@ -62,10 +62,11 @@
         }
     }
 
-    pub(super) fn save_traffic_account(&mut self) {
+    /// Queues the traffic report to be written to disk, if a file is configured for it.
+    pub(super) fn save_traffic_report(&mut self) {
         if self.traffic_writer.is_enabled() {
-            let account = self.traffic.report();
-            self.traffic_writer.write(account);
+            let report = self.traffic.report();
+            self.traffic_writer.write(report);
         }
     }
 }
--- a/crates/daemon/src/event_loop/messages.rs
+++ b/crates/daemon/src/event_loop/messages.rs
@@ -1,43 +1,47 @@
-//! Dispatch of messages, and the handlers of those from players, operators and peers.
+//! Dispatches messages to their handlers, and handles those from players, operators and peers.
 use super::EventLoop;
-use crate::message::Message;
-use crate::player::Player;
+use crate::message::EventLoopMessage;
+use crate::player::PlayerConnection;
 use crankpaddle_config::Config;
 use crankpaddle_front::{Input, PlayerId};
 use crankpaddle_net::clock;
 use std::sync::Arc;
 
 impl EventLoop {
-    pub(super) fn handle_message(&mut self, message: Message) {
+    pub(super) fn handle_message(&mut self, message: EventLoopMessage) {
         match message {
-            Message::PlayerConnected { player } => self.player_connected(player),
-            Message::PlayerRequest { input } => self.player_requested(input),
-            Message::PlayerDisconnected { player } => self.player_disconnected(player),
-            Message::SetUpCompleted { attempt, result } => self.set_up_completed(attempt, result),
-            Message::Server { server, message } => self.handle_server_message(server, message),
-            Message::BudgetsChanged { config } => self.budgets_changed(&config),
-            Message::TrafficReportRequested { reply } => {
+            EventLoopMessage::PlayerConnected { player } => self.player_connected(player),
+            EventLoopMessage::PlayerRequest { input } => self.player_requested(input),
+            EventLoopMessage::PlayerDisconnected { player } => self.player_disconnected(player),
+            EventLoopMessage::SetUpCompleted { attempt, result } => {
+                self.set_up_completed(attempt, result);
+            }
+            EventLoopMessage::Server { server, message } => {
+                self.handle_server_message(server, message);
+            }
+            EventLoopMessage::BudgetsChanged { config } => self.budgets_changed(&config),
+            EventLoopMessage::TrafficReportRequested { reply } => {
                 let _ = reply.send(self.traffic.report()); // The requester may be gone.
             }
-            Message::EndpointListReceived { kind, list } => {
+            EventLoopMessage::EndpointListReceived { kind, list } => {
                 self.endpoint_list_received(kind, &list);
             }
-            Message::EndpointListUnavailable => self.endpoint_list_unavailable(),
-            Message::IntentWritten {
+            EventLoopMessage::EndpointListUnavailable => self.endpoint_list_unavailable(),
+            EventLoopMessage::IntentWritten {
                 attempt,
                 is_durable,
             } => self.intent_written(attempt, is_durable),
-            Message::FleetStatusRequested { reply } => {
+            EventLoopMessage::FleetStatusRequested { reply } => {
                 let _ = reply.send(self.fleet_status()); // The requester may be gone.
             }
-            Message::FleetSizeChanged { fronts } => {
+            EventLoopMessage::FleetSizeChanged { fronts } => {
                 self.handle_core_input(Input::FleetSizeChanged(fronts));
             }
-            Message::DrainRequested => self.start_draining(),
+            EventLoopMessage::DrainRequested => self.start_draining(),
         }
     }
 
-    fn player_connected(&mut self, player: Arc<Player>) {
+    fn player_connected(&mut self, player: Arc<PlayerConnection>) {
         self.players.insert(player.id, player);
     }
 
--- a/crates/daemon/src/event_loop/mod.rs
+++ b/crates/daemon/src/event_loop/mod.rs
@@ -1,16 +1,16 @@
-//! The event loop: the one coroutine that owns the core and decides.
+//! The event loop: the only coroutine that owns the core and makes decisions.
 //!
-//! It receives all messages in one order, passes them to the core and performs the core's outputs. It never
+//! It receives all messages from one queue, passes them to the core and performs the core's outputs. It never
 //! waits for a socket or a disk.
 //!
-//! - `messages`: one handler for each message that is not of servers;
-//! - `server_messages`: the handlers of what servers sent; `endpoints`: of the list service;
-//! - `attempts`: what becomes of an attempt between its start and its end;
-//! - `outputs`: performs what the core decided;
-//! - `maintenance`: periodic upkeep; `shutdown`: draining and the end;
+//! - `messages`: dispatch, and the handlers of messages from players, operators and peers;
+//! - `server_messages`: the handlers of messages from servers; `endpoints`: of those from the list service;
+//! - `attempts`: the life of an attempt between its start and its end;
+//! - `outputs`: performs the core's decisions;
+//! - `maintenance`: periodic maintenance; `shutdown`: draining and stopping;
 //! - `durable_setup`, `durable_state`: paid set-ups, written to the store before they are sent;
-//! - `previous_incarnation`, `reconciliation`, `session_adoption`: what a previous incarnation of this front
-//!   began;
+//! - `previous_incarnation`, `reconciliation`, `session_adoption`: recovery of the set-ups and sessions that a
+//!   previous incarnation of this front started;
 //! - `status`: the reply to `GET /fleet`.
 mod attempts;
 mod durable_setup;
@@ -27,13 +27,13 @@
 mod status;
 
 use crate::attempt_sender::AttemptHandle;
-use crate::message::Message;
+use crate::message::EventLoopMessage;
 use crate::persistence_thread::FileWriter;
-use crate::player::Player;
+use crate::player::PlayerConnection;
 use crate::recovered_state::OpenedState;
 use crate::server_connection_state::ServerConnectionState;
 use crate::server_link::ServerLink;
-use crate::shared::{Counts, Shared};
+use crate::shared::{Shared, WorkInProgress};
 use crate::traffic::TrafficAccounting;
 use crankpaddle_cross_zone_traffic::report::TrafficReport;
 use crankpaddle_front::{AttemptId, Core, EndpointListKind, Input, Output, PlayerId, ServerId};
@@ -49,12 +49,12 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Links, pools and budgets are maintained this often.
+/// Time between two rounds of maintenance.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Messages handled before timers are checked, so that a flood of messages can't hold up answers that are
-/// due.
+/// Messages handled before timers are checked, so that a flood of messages can't delay answers that are due.
 const MESSAGE_BATCH: usize = 256;
-/// While stopping, the loop looks this often whether it is finished: closed controls send no message.
+/// Time between two checks for the end of the shutdown. It is polled because a control that was sent or given up
+/// notifies the loop with no message.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// An attempt that was sent, or the session that it established.
@@ -66,42 +66,45 @@
     handle: Arc<AttemptHandle>,
 }
 
+/// A server's link, and the sessions that are established there.
 #[derive(Default)]
 struct ServerState {
-    /// `None` until the list gives the server's address.
+    /// `None` until an endpoint list gives the server's address.
     link: Option<Arc<ServerLink>>,
     connection: ServerConnectionState,
 }
 
-/// All senders of the event loop's queue were dropped.
+/// No more messages can arrive, because all senders of the event loop's queue were dropped.
 struct InboxClosed;
 
 /// The event loop with all state that it owns.
 pub(crate) struct EventLoop {
     shared: Arc<Shared>,
     core: Core,
-    players: HashMap<PlayerId, Arc<Player>>,
+    players: HashMap<PlayerId, Arc<PlayerConnection>>,
     attempts: HashMap<AttemptId, LiveAttempt>,
-    /// The keys of `attempts` by the attempts' names at servers.
+    /// Ids of `attempts` by the attempt's name at its server.
     attempt_ids: HashMap<String, AttemptId>,
     servers: BTreeMap<ServerId, ServerState>,
+    /// Names of titles by number.
     title_names: HashMap<u64, String>,
     endpoints: CachedEndpoints,
-    /// While the list service is unavailable, only event streams show that a server started.
+    /// Whether the list service is unavailable; until it returns, only event streams show that a server started.
     is_list_unavailable: bool,
     list_writer: FileWriter,
     traffic: TrafficAccounting,
     traffic_writer: FileWriter,
-    /// `None` where no store is configured.
+    /// `None` if no store is configured.
     durable: Option<DurableState>,
+    /// Outputs of the core that were not performed yet.
     outputs: Vec<Output>,
     next_maintenance: Time,
     shutdown: Shutdown,
 }
 
 impl EventLoop {
-    /// An event loop that starts from the cached list, the saved traffic account and the opened store, where
-    /// there are any.
+    /// Creates an event loop that starts from the cached endpoint list, the saved traffic report and the opened
+    /// store; each is `None` if there is none.
     pub(crate) fn new(
         shared: Arc<Shared>,
         cached_list: Option<CachedEndpoints>,
@@ -130,7 +133,10 @@
             is_list_unavailable: false,
             list_writer: FileWriter::start(config.list_cache.clone(), "endpoint list"),
             traffic: TrafficAccounting::new(config, saved_traffic),
-            traffic_writer: FileWriter::start(config.traffic_file.clone(), "traffic account"),
+            traffic_writer: FileWriter::start(
+                config.traffic_file.clone(),
+                "cross-zone traffic report",
+            ),
             durable: None,
             outputs: Vec::new(),
             next_maintenance: Time::MAX,
@@ -148,7 +154,7 @@
     }
 
     /// Runs until the front has stopped; returns the threads that still write to disk.
-    pub(crate) fn run(mut self, inbox: &Receiver<Message>) -> Vec<JoinHandle<()>> {
+    pub(crate) fn run(mut self, inbox: &Receiver<EventLoopMessage>) -> Vec<JoinHandle<()>> {
         self.next_maintenance = clock::now() + MAINTENANCE_INTERVAL;
         while !self.is_finished() {
             let Ok(first) = self.wait_for_message(inbox) else {
@@ -165,7 +171,7 @@
             self.advance_shutdown();
             self.core.expire(clock::now(), &mut self.outputs);
             self.perform_outputs();
-            self.shared.publish_counts(Counts {
+            self.shared.publish_work_in_progress(WorkInProgress {
                 waiting: self.core.waiting(),
                 playing: self.core.playing(),
             });
@@ -173,11 +179,11 @@
         self.finish()
     }
 
-    /// Waits for a message until the next deadline; `None` where that passed first.
+    /// Waits for a message until the next deadline; `None` if the deadline passed first.
     fn wait_for_message(
         &mut self,
-        inbox: &Receiver<Message>,
-    ) -> Result<Option<Message>, InboxClosed> {
+        inbox: &Receiver<EventLoopMessage>,
+    ) -> Result<Option<EventLoopMessage>, InboxClosed> {
         let now = clock::now();
         let mut deadline = self.core_deadline();
         deadline = deadline.min(self.next_maintenance);
@@ -198,9 +204,9 @@
         }
     }
 
-    /// Handles what lies in the queue: one batch, or after a stall of the process all of it, so that timers
-    /// don't fire for messages that arrived in time.
-    fn drain_inbox(&mut self, inbox: &Receiver<Message>) {
+    /// Handles one batch of queued messages. After a stall of the process it handles all of them before any timer
+    /// fires: an answer that arrived in time but was not read yet must not count as late.
+    fn drain_inbox(&mut self, inbox: &Receiver<EventLoopMessage>) {
         drain_queue(inbox, MESSAGE_BATCH, |message| self.handle_message(message));
         let has_stalled = drain_after_stall(self.core_deadline(), || {
             let handled = drain_queue(inbox, MESSAGE_BATCH, |message| self.handle_message(message));
@@ -215,8 +221,8 @@
         self.core.next_expiry().unwrap_or(Time::MAX)
     }
 
-    /// Passes an input to the core and performs the outputs that can't wait; the rest is decided in
-    /// [`Core::expire`], when the queue is drained.
+    /// Passes an input to the core and performs the outputs that can't wait. The core makes all other decisions in
+    /// [`Core::expire`], which is called when the queue is drained.
     fn handle_core_input(&mut self, input: Input) {
         self.core
             .handle_input(clock::now(), input, &mut self.outputs);
--- a/crates/daemon/src/event_loop/outputs.rs
+++ b/crates/daemon/src/event_loop/outputs.rs
@@ -1,8 +1,8 @@
-//! Performs what the core decided: answers, notifications, set-ups, rung changes and teardowns.
+//! Performs the core's decisions: answers, notifications, set-ups, rung changes and teardowns.
 use super::{EventLoop, LiveAttempt};
 use crate::attempt_sender::{AttemptHandle, SetUpRequest};
 use crate::config_lookup::name_at;
-use crate::message::Message;
+use crate::message::EventLoopMessage;
 use crate::server_link::ServerLink;
 use crankpaddle_cross_zone_traffic::traffic_controller::AttemptEnd;
 use crankpaddle_front::{
@@ -15,24 +15,24 @@
 use std::sync::Arc;
 
 /// A set-up that the core ordered.
-struct SetUp {
+struct OrderedSetUp {
     attempt: AttemptId,
     request: RequestId,
     /// The attempt's number within its request.
-    number: u8,
+    attempt_number: u8,
     server: ServerId,
     order: SetUpOrder,
 }
 
 impl EventLoop {
-    /// Performs the core's outputs in their order. Those that come up meanwhile are performed by the call
-    /// that caused them.
+    /// Performs the queued outputs in their order. If performing one makes the core queue more, they are performed
+    /// before the next one, by a nested call of this method.
     pub(super) fn perform_outputs(&mut self) {
         let mut outputs = std::mem::take(&mut self.outputs);
         for output in outputs.drain(..) {
             self.perform_output(output);
         }
-        self.outputs = outputs; // Its memory is reused.
+        self.outputs = outputs; // Reuses the allocation.
     }
 
     fn perform_output(&mut self, output: Output) {
@@ -48,14 +48,14 @@
                 server,
                 order,
                 ..
-            } => self.start_set_up(&SetUp {
+            } => self.start_set_up(&OrderedSetUp {
                 attempt,
                 request,
-                number,
+                attempt_number: number,
                 server,
                 order,
             }),
-            Output::SessionAdopted { .. } => {} // Only inputs that this crate never gives lead to it.
+            Output::SessionAdopted { .. } => {} // Follows only from inputs that this crate never sends.
             Output::FoundSessionHandled { token, attempt, .. } => {
                 self.found_session_handled(token, attempt);
             }
@@ -63,9 +63,9 @@
             Output::AbandonAttempt(attempt, server) => self.abandon_attempt(attempt, server),
             Output::SetRung(attempt, server, rung) => self.set_rung(attempt, server, rung),
             Output::TearDown(attempt, server) => self.tear_down(attempt, server),
-            // The list service sends lists unasked, and the settings switch health checks off.
+            // Endpoint lists arrive without a request, and health checks are disabled in the settings.
             Output::HealthCheck(_) | Output::SubscribeEndpoints | Output::FetchEndpoints => {}
-            Output::Log(line) => tracing::debug!(line, "policy log"),
+            Output::Log(line) => tracing::debug!(line, "placement policy message"),
         }
     }
 
@@ -109,8 +109,8 @@
         }
     }
 
-    fn start_set_up(&mut self, set_up: &SetUp) {
-        let SetUp {
+    fn start_set_up(&mut self, set_up: &OrderedSetUp) {
+        let OrderedSetUp {
             attempt,
             server,
             order,
@@ -119,7 +119,7 @@
         tracing::info!(
             request_id = set_up.request.0,
             attempt_id = attempt.0,
-            attempt_number = set_up.number,
+            attempt_number = set_up.attempt_number,
             server_id = server.0,
             rung = order.rung,
             class = order.class,
@@ -127,8 +127,8 @@
         );
         let state = self.servers.get(server);
         let Some(link) = state.and_then(|state| state.link.clone()) else {
-            // Listed without an address here: nothing can be sent.
-            self.shared.send(Message::SetUpCompleted {
+            // No endpoint list gave the server's address, so nothing can be sent.
+            self.shared.send(EventLoopMessage::SetUpCompleted {
                 attempt: *attempt,
                 result: SetUpResult::Ended(AttemptOutcome::NotSent, Vec::new()),
             });
@@ -145,7 +145,7 @@
         link.attempt_added(&self.shared);
         self.attempt_ids.insert(name.clone(), *attempt);
         self.traffic
-            .attempt_started(*attempt, set_up.number, *server, order);
+            .attempt_started(*attempt, set_up.attempt_number, *server, order);
         self.track_attempt(*attempt, *server, name, link, handle);
         self.send_attempt(*attempt, *server, order, request);
     }
@@ -189,7 +189,7 @@
         );
         if let Some(live) = self.release(attempt, AttemptEnd::Completed) {
             live.handle.abandon();
-            // It may have been set up all the same, or still be.
+            // The server may have set up the session before it saw the connection close, or may still do so.
             live.link.tear_down(&self.shared, &live.name);
         }
     }
--- a/crates/daemon/src/event_loop/previous_incarnation.rs
+++ b/crates/daemon/src/event_loop/previous_incarnation.rs
@@ -1,8 +1,8 @@
-//! The start from a store: passes the state of previous incarnations to the core.
-use super::durable_state::{Deferred, DurableState, RecoveryPhase};
+//! The start from a store: restores the state that previous incarnations wrote, and starts the staged recovery.
+use super::durable_state::{DeferredInputs, DurableState, RecoveryPhase};
 use super::EventLoop;
 use crate::config_lookup::{index_of, tenant_index};
-use crate::message::Message;
+use crate::message::EventLoopMessage;
 use crate::recovered_state::OpenedState;
 use crankpaddle_api::describe::Fleet;
 use crankpaddle_front::{
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// A class that is no longer configured; the core treats it as paid.
+/// Stands for a class that is no longer configured; the core treats it as paid.
 const UNKNOWN_CLASS: u8 = u8::MAX;
 
 impl EventLoop {
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Starts the thread that writes to the store; the tokens of its writes are attempts.
+    /// Starts the thread that writes to the store. The token of a write is the id of the attempt that waits for it.
     fn start_writer(&self, store: Store) -> StoreWriter {
         let shared = Arc::clone(&self.shared);
         StoreWriter::start(
             store,
             move |token, result: Result<(), &crankpaddle_store::Error>| {
-                shared.send(Message::IntentWritten {
+                shared.send(EventLoopMessage::IntentWritten {
                     attempt: AttemptId(token),
                     is_durable: result.is_ok(),
                 });
@@ -115,7 +115,7 @@
         });
     }
 
-    /// Passes the outcome of a paid key to the core; `None`: its set-up never ran. Keys of tenants that are no
+    /// Passes the outcome of a paid key to the core; `None` if its set-up never ran. Keys of tenants that are no
     /// longer configured are dropped.
     pub(super) fn key_resolved(&mut self, key: &Key, class: &str, outcome: Option<RequestOutcome>) {
         let config = &self.shared.config;
@@ -131,7 +131,8 @@
         });
     }
 
-    /// Paid keys that no server resolved count as run.
+    /// Ends the wait for unresolved paid keys. They count as run from now on: a second set-up under the same key
+    /// could bill the viewer twice.
     pub(super) fn expire_unresolved_keys(&mut self) {
         for key in self.reconcile(Reconciliation::time_out) {
             tracing::warn!(bill = key.bill, "paid set-up unresolved, counted as run");
@@ -140,12 +141,13 @@
     }
 }
 
-/// After a clean shutdown servers hold nothing of the previous incarnation, so there is nothing to reconcile.
+/// The phase in which a front starts. After a clean shutdown servers hold no session of the previous incarnation, so
+/// there is nothing to reconcile.
 fn first_phase(shutdown: PreviousShutdown) -> RecoveryPhase {
     match shutdown {
         PreviousShutdown::Clean => RecoveryPhase::Resumed,
         PreviousShutdown::Unknown | PreviousShutdown::Killed | PreviousShutdown::PowerLost => {
-            RecoveryPhase::Reconciling(Deferred::default())
+            RecoveryPhase::Reconciling(DeferredInputs::default())
         }
     }
 }
--- a/crates/daemon/src/event_loop/reconciliation.rs
+++ b/crates/daemon/src/event_loop/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation with the servers: which set-ups of a previous incarnation ran, and which of its sessions are
-//! still established.
+//! Reconciliation with the servers: determines which set-ups of a previous incarnation ran, and which of its sessions
+//! are still established.
 use super::durable_state::{DeferredList, DurableState, FoundSession, RecoveryPhase};
 use super::EventLoop;
 use crate::inventory_client;
@@ -15,7 +15,8 @@
 use std::time::Duration;
 
 impl EventLoop {
-    /// Defers a list while it is not known which servers are warming up. Returns whether it was deferred.
+    /// Defers an endpoint list during reconciliation, while it is not known which servers are warming up. Returns
+    /// whether it was deferred.
     pub(super) fn defer_endpoints(&mut self, kind: EndpointListKind, listed: &[Endpoint]) -> bool {
         let Some(durable) = &mut self.durable else {
             return false;
@@ -40,7 +41,8 @@
         true
     }
 
-    /// Applies a change to the reconciliation and returns its result; the default if no store is configured.
+    /// Applies a change to the reconciliation and returns its result, or the default value of the result if no store
+    /// is configured.
     pub(super) fn reconcile<T: Default>(
         &mut self,
         change: impl FnOnce(&mut Reconciliation) -> T,
@@ -86,6 +88,8 @@
         }
     }
 
+    /// Handles a server's response to the fence of an attempt. Without a confirmation the server counts as
+    /// unreachable, and is tried again later.
     pub(super) fn fence_completed(
         &mut self,
         server: ServerId,
@@ -102,7 +106,7 @@
         self.perform_steps(step);
     }
 
-    /// A server that could not be reached may be reachable again.
+    /// Requests the inventory of a server again if it was unreachable before.
     pub(super) fn retry_reconciliation(&mut self, server: ServerId) {
         let step = self.reconcile(|state| state.server_reachable(server.0));
         self.perform_steps(step);
@@ -140,8 +144,8 @@
         self.perform_steps(outcome.steps);
     }
 
-    /// Records when a server started. Service may have resumed before its first inventory arrived: then the
-    /// server was assumed to have started at that moment, and it may have started later.
+    /// Records when a server started. If service resumed before the server's first inventory arrived, its start was
+    /// assumed to be the moment of the resumption; it may have started later, so the core gets the reported time.
     fn record_server_start(&mut self, server: ServerId, started_at: Time) {
         let Some(durable) = &mut self.durable else {
             return;
@@ -165,7 +169,7 @@
                 tracing::info!(
                     server_id = server,
                     reason = "its viewer was notified that it failed",
-                    "found session torn down"
+                    "session of a previous incarnation torn down"
                 );
                 self.tear_down_found_session(ServerId(server), &session_name);
             }
@@ -179,7 +183,7 @@
         }
     }
 
-    /// A set-up never ran: its key can be opened again.
+    /// Releases the key of a set-up that never ran, so that it can be opened again.
     fn release_key(&mut self, key: &Key) {
         let Some(durable) = &mut self.durable else {
             return;
@@ -189,8 +193,8 @@
         self.key_resolved(key, "", None);
     }
 
-    /// A set-up ran or may have run: its key can't be opened again. This is written even if the ledger had no
-    /// entry of the key.
+    /// Records that the set-up of a key ran or may have run, so that the key can't be opened again. The ledger gets
+    /// an entry even if it had none for the key.
     fn resolve_key(&mut self, key: &Key, outcome: IntentOutcome, request_outcome: RequestOutcome) {
         let Some(durable) = &mut self.durable else {
             return;
@@ -201,7 +205,7 @@
         self.key_resolved(key, "", Some(request_outcome));
     }
 
-    /// A recovery stage was entered; service resumes with the first one that serves paid classes.
+    /// Handles the entry of a recovery stage. Service resumes with the first stage that serves paid classes.
     pub(super) fn recovery_stage_reached(&mut self, stage: RecoveryStage, evidence: StageEvidence) {
         tracing::info!(?stage, reason = ?evidence, "recovery stage reached");
         let durable = self.durable.as_ref();
@@ -211,8 +215,8 @@
         }
     }
 
-    /// Passes to the core what reconciliation found: servers, their sessions, and the keys that remain
-    /// unresolved.
+    /// Resumes service after reconciliation: passes the deferred endpoint lists, the keys that remain unresolved and
+    /// the found sessions to the core, in this order.
     fn resume_service(&mut self) {
         let Some(durable) = &mut self.durable else {
             return;
@@ -229,9 +233,9 @@
         } in deferred.lists
         {
             for endpoint in &mut endpoints {
-                // Why: after a power loss each server is warming up, while a cached list states that it started
-                // long ago. So a server without an inventory counts as started now. The cost: an unreachable
-                // server that is warmed up gets a slow start.
+                // A server without an inventory counts as started now: after a power loss all servers are warming
+                // up, while a cached list may state that they started long ago. The cost is a needless slow start
+                // for a server that is warmed up but was unreachable.
                 let reported = server_starts.get(&endpoint.server).copied();
                 endpoint.started_at = reported.unwrap_or(endpoint.started_at.max(now));
             }
--- a/crates/daemon/src/event_loop/server_messages.rs
+++ b/crates/daemon/src/event_loop/server_messages.rs
@@ -1,4 +1,4 @@
-//! What servers report on their event streams, and that a server can't be reached.
+//! Handles the reports of servers' event streams, and servers that can't be reached.
 use super::EventLoop;
 use crate::message::ServerMessage;
 use crankpaddle_cross_zone_traffic::traffic_controller::AttemptEnd;
@@ -64,10 +64,10 @@
         self.retry_reconciliation(server);
     }
 
-    /// Ends sessions that a server holds and this front does not: attempts that were abandoned.
+    /// Tears down sessions that a server lists but this front does not know; they come from abandoned attempts.
     ///
-    /// Why only names of this incarnation, where a store is configured: another name may be that of a session
-    /// that is just being adopted, or of a process that runs under the same front name.
+    /// If a store is configured, only names that this incarnation gave are torn down. Any other name may belong to a
+    /// session that is being adopted, or to another process that runs under the same front name.
     fn tear_down_unknown_sessions(&self, server: ServerId, session_names: &[String]) {
         let Some(link) = self
             .servers
@@ -86,36 +86,40 @@
         }
     }
 
-    /// Passes a server's start to the core, where its event stream shows one that was not known.
+    /// Detects from a server's event stream that the server started, and passes the time of the start to the core.
     ///
-    /// Why: while the list is late or unavailable, a front would send as much to a server that has just
-    /// started as to a warmed-up one and overload it (observed: five set-ups of one front within a second of
-    /// the start; and after a power loss of a zone with its list service, two fronts without sessions there
-    /// met a server a second after its start). So an incarnation other than the known one is a start, and one
-    /// of which none was known is as old as the server reports; and while the list service is unavailable,
-    /// all servers are subscribed to. The cost: a server that does not report its age, and was not seen since
-    /// it started long ago, is taken for warming up until the list gives its start.
+    /// While the endpoint list is late or unavailable, a front would otherwise send as many set-ups to a server that
+    /// has just started as to a warmed-up one, and overload it. One front was seen to send five set-ups within a
+    /// second of a start. After a power loss of a zone together with its list service, two fronts without sessions in
+    /// that zone reached a server one second after its start.
+    ///
+    /// An incarnation other than the known one means a restart: the server started as long ago as it reports, or now
+    /// if it reports no age. If no incarnation was known, the reported age gives the start, and without an age nothing
+    /// is passed. While the list service is unavailable, this front subscribes to all servers.
+    ///
+    /// The cost: a server that restarted long ago without this front noticing, and that reports no age, counts as
+    /// warming up until the endpoint list gives its start.
     fn detect_server_start(&mut self, server: ServerId, start: &StreamStart) {
         let Some(state) = self.servers.get(&server) else {
             return;
         };
         let is_known = state.connection.incarnation().is_some();
-        let is_other = state.connection.is_other_incarnation(&start.boot);
+        let has_restarted = state.connection.is_other_incarnation(&start.boot);
         let now = clock::now();
         let age = start.age_ms.map(Duration::from_millis);
         let started_at = match (is_known, age) {
-            (true, _) if !is_other => return,
+            (true, _) if !has_restarted => return,
             (_, Some(age)) => now - age,
             (true, None) => now,
             (false, None) => return,
         };
-        if is_other {
+        if has_restarted {
             tracing::info!(server_id = server.0, "server restarted");
         }
         self.server_started(server, started_at);
     }
 
-    /// A server started at that time, or later where the list gives a later start.
+    /// Passes a server's start to the core: at `started_at`, or later if the endpoint list gives a later start.
     pub(super) fn server_started(&mut self, server: ServerId, started_at: Time) {
         let entries = self.endpoints.servers().iter();
         let entry: Vec<_> = entries
@@ -133,12 +137,12 @@
         self.traffic.controller.server_alive(server.0, clock::now());
     }
 
-    /// Ends the sessions of a server that can't be reached.
+    /// Ends the sessions of a server that can't be reached. `requested_at` is the time of the request that failed;
+    /// sessions established after it are kept.
     ///
-    /// Why its start is also set to now while the list service is unavailable: it may have started
-    /// milliseconds ago, and this front, whose requests failed until then, pauses before the next one. A server
-    /// that can't be reached is not warmed up, and its start is seen nowhere else. The cost: a server cut off
-    /// from this front alone starts slowly when it can be reached again.
+    /// While the list service is unavailable, the server also counts as started now. Nothing else would report its
+    /// next start: this front pauses after a failed request, and the server may start during the pause. The cost is a
+    /// needless slow start for a server that was only cut off from this front.
     fn server_unreachable(&mut self, server: ServerId, requested_at: Time) {
         self.traffic.controller.server_lost(server.0);
         if self.is_list_unavailable {
--- a/crates/daemon/src/event_loop/session_adoption.rs
+++ b/crates/daemon/src/event_loop/session_adoption.rs
@@ -9,11 +9,12 @@
 use crankpaddle_recovery::{Intent, IntentOutcome};
 use std::sync::Arc;
 
-/// Hexadecimal digits at the start of a billing identifier that replace the unknown viewer number, of 64 bits.
+/// Leading hexadecimal digits of a billing key that serve as the viewer number, which has 64 bits. The inventory does
+/// not state the viewer of a found session.
 const VIEWER_DIGITS: usize = 16;
 
 impl EventLoop {
-    /// A server holds a session of a previous incarnation; it is adopted now, or when service resumes.
+    /// Handles a session of a previous incarnation that a server holds: adopts it now, or when service resumes.
     pub(super) fn session_found(&mut self, found: FoundSession) {
         let Some(durable) = &mut self.durable else {
             return;
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Offers a found session to the core; one whose names are no longer configured is torn down.
+    /// Offers a found session to the core, or tears it down if its class, tenant or title is no longer configured.
     pub(super) fn adopt_found_session(&mut self, found: FoundSession) {
         if let Some(open) = self.open_request(&found.session) {
             return self.offer_found_session(found, open);
@@ -34,13 +35,13 @@
             class = found.session.class,
             title = found.session.title,
             reason = "its class, tenant or title is not configured",
-            "found session torn down"
+            "session of a previous incarnation torn down"
         );
         self.tear_down_found_session(found.server, &found.session.name);
     }
 
-    /// The request that a found session answers, as far as its inventory states it; `None` if a name is not
-    /// configured.
+    /// Reconstructs the request that led to a found session, as far as the inventory states it; `None` if its class,
+    /// tenant or title is not configured.
     fn open_request(&self, session: &InventorySession) -> Option<OpenRequest> {
         let config = &self.shared.config;
         let class = index_of(&config.classes, &session.class)?;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The core adopted a found session as this attempt, or rejected it.
+    /// Handles the core's decision on a found session: adopted as `attempt`, or rejected if that is `None`.
     pub(super) fn found_session_handled(&mut self, token: u64, attempt: Option<AttemptId>) {
         let Some(durable) = &mut self.durable else {
             return;
@@ -101,7 +102,7 @@
         let FoundSession { server, session } = found;
         let state = self.servers.get(&server);
         let Some(link) = state.and_then(|state| state.link.clone()) else {
-            return; // Without a link a teardown can't be sent either.
+            return; // Without a link the session can be neither controlled nor torn down.
         };
         tracing::info!(
             attempt_id = attempt.0,
@@ -127,7 +128,7 @@
         self.handle_core_input(Input::SessionUpdated(attempt, SessionUpdate::Rung(rung)));
     }
 
-    /// The set-up order that a found session would have had.
+    /// Reconstructs the order of the set-up that led to a found session.
     fn adopted_order(&self, session: &InventorySession) -> SetUpOrder {
         let config = &self.shared.config;
         let class = index_of(&config.classes, &session.class).unwrap_or(0);
--- a/crates/daemon/src/event_loop/shutdown.rs
+++ b/crates/daemon/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: draining, stopping, and the end of the loop.
+//! Graceful shutdown: draining, stopping sessions, and the end of the event loop.
 use super::EventLoop;
 use crankpaddle_front::Input;
 use crankpaddle_net::clock;
@@ -6,18 +6,18 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// While stopping, players and servers get this long to receive what is still sent.
+/// Longest time that stopping takes: players and servers get the last messages within it.
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The stage of the graceful shutdown.
 #[derive(Clone, Copy)]
 pub(super) enum Shutdown {
     Running,
-    /// Nothing new is taken; requests are answered until the deadline.
+    /// New requests are rejected; pending ones are answered until the deadline.
     Draining {
         deadline: Time,
     },
-    /// Sessions were ended; connections are closed until the deadline.
+    /// Sessions were ended; teardowns are sent and players' connections closed until the deadline.
     Stopping {
         deadline: Time,
     },
@@ -37,7 +37,7 @@
 }
 
 impl EventLoop {
-    /// Handles [`crate::message::Message::DrainRequested`]; a second request changes nothing.
+    /// Handles [`crate::message::EventLoopMessage::DrainRequested`]; a second request changes nothing.
     pub(super) fn start_draining(&mut self) {
         if !matches!(self.shutdown, Shutdown::Running) {
             return;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether the front has stopped: all is sent, or there was time enough.
+    /// Whether the shutdown is over: everything was sent, or the deadline has passed.
     pub(super) fn is_finished(&self) -> bool {
         let Shutdown::Stopping { deadline } = self.shutdown else {
             return false;
@@ -82,10 +82,11 @@
         all_sent || clock::now() >= deadline
     }
 
-    /// Writes what shall be on disk at the end; returns the threads that write it.
+    /// Queues the last writes to disk and returns the threads that perform them. The shutdown is recorded as clean if
+    /// no request and no session is left.
     pub(super) fn finish(mut self) -> Vec<JoinHandle<()>> {
         while self.traffic.settle_step() {}
-        self.save_traffic_account();
+        self.save_traffic_report();
         tracing::info!("front stopped");
         let is_clean = self.core.waiting() == 0 && self.core.playing() == 0;
         let store_thread = self.durable.and_then(|durable| durable.finish(is_clean));
--- a/crates/daemon/src/event_loop/status.rs
+++ b/crates/daemon/src/event_loop/status.rs
@@ -6,7 +6,7 @@
 use crankpaddle_recovery::intents::milliseconds;
 
 impl EventLoop {
-    /// The status; `None` where no store is configured.
+    /// The status; `None` if no store is configured.
     pub(super) fn fleet_status(&self) -> Option<Fleet> {
         let durable = self.durable.as_ref()?;
         let servers = durable.reconciliation.server_counts();
@@ -28,12 +28,12 @@
     fn recovery_steps(&self) -> Vec<ReturnStep> {
         let now = clock::now();
         let transitions = self.core.recovery().transitions().iter();
-        let step = transitions.map(|transition| ReturnStep {
+        let steps = transitions.map(|transition| ReturnStep {
             stage: transition.stage.into(),
             why: transition.evidence.into(),
             ago_ms: milliseconds(now.duration_since(transition.at)),
         });
-        step.collect()
+        steps.collect()
     }
 }
 
--- a/crates/daemon/src/http_responses.rs
+++ b/crates/daemon/src/http_responses.rs
@@ -1,5 +1,5 @@
 //! Responses to HTTP requests of players and operators.
-use crate::message::Message;
+use crate::message::EventLoopMessage;
 use crate::shared::Shared;
 use crankpaddle_api::describe::{Health, State};
 use crankpaddle_http::head::{self, Request};
@@ -8,28 +8,28 @@
 use may::sync::mpsc::{channel, Sender};
 use std::time::Duration;
 
-/// A header field.
+/// The name and value of a header field.
 type Field<'a> = (&'a str, &'a str);
 
-/// The field that ends a connection.
+/// The field with which a response announces that the connection is closed after it.
 pub(crate) const CLOSE: Field<'static> = ("connection", "close");
 const KEEP_ALIVE: Field<'static> = ("connection", "keep-alive");
 const JSON: &str = "application/json";
-/// The event loop replies within this time; else the front is overloaded.
+/// Longest wait for a reply of the event loop or the membership; without one the front counts as overloaded.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// The paths of resources; the descriptions of the API come on top.
+/// The paths of resources other than the published descriptions of the API.
 const PATHS: [&str; 5] = ["/fleet", "/health", "/members", "/session", "/traffic"];
 
 /// The event loop did not reply in time.
 struct ReplyTimeout;
 
 /// A published description of the API.
-struct Description {
+struct ApiDescription {
     media_type: &'static str,
     text: &'static str,
 }
 
-/// The bytes of the response to a request.
+/// Returns the bytes of the response to a request.
 pub(crate) fn respond(shared: &Shared, request: &Request) -> Vec<u8> {
     let connection = if request.keeps_alive() {
         KEEP_ALIVE
@@ -39,13 +39,15 @@
     let responder = Responder { shared, connection };
     let path = request.path().0;
     if request.method != "GET" {
-        return responder.other_method(path);
+        return responder.reject_method(path);
     }
     responder.get(path)
 }
 
+/// Creates the response to one request.
 struct Responder<'a> {
     shared: &'a Shared,
+    /// The `connection` field of the response.
     connection: Field<'static>,
 }
 
@@ -61,15 +63,15 @@
                 "this is spoken over WebSocket",
                 &[("upgrade", "websocket"), ("sec-websocket-version", "13")],
             ),
-            _ => match description(path) {
+            _ => match api_description(path) {
                 Some(found) => self.success(200, found.media_type, found.text),
                 None => self.not_found(path),
             },
         }
     }
 
-    fn other_method(&self, path: &str) -> Vec<u8> {
-        if PATHS.contains(&path) || description(path).is_some() {
+    fn reject_method(&self, path: &str) -> Vec<u8> {
+        if PATHS.contains(&path) || api_description(path).is_some() {
             return self.problem(405, "only GET is known here", &[("allow", "GET")]);
         }
         self.not_found(path)
@@ -85,15 +87,15 @@
     fn health(&self) -> Vec<u8> {
         let shared = self.shared;
         let is_draining = shared.is_draining();
-        let counts = shared.counts();
+        let work = shared.work_in_progress();
         let health = Health {
             state: if is_draining {
                 State::Draining
             } else {
                 State::Ready
             },
-            waiting: counts.waiting as u64,
-            playing: counts.playing as u64,
+            waiting: work.waiting as u64,
+            playing: work.playing as u64,
             connections: shared.connections() as u64,
         };
         let body = serde_json::to_string(&health).unwrap_or_default();
@@ -102,7 +104,7 @@
     }
 
     fn traffic(&self) -> Vec<u8> {
-        match self.request(|reply| Message::TrafficReportRequested { reply }) {
+        match self.request(|reply| EventLoopMessage::TrafficReportRequested { reply }) {
             Ok(report) => self.success(200, JSON, &report),
             Err(ReplyTimeout) => self.problem(503, "the front has more to do than to report", &[]),
         }
@@ -117,29 +119,32 @@
                 let body = serde_json::to_string(&members).unwrap_or_default();
                 self.success(200, JSON, &body)
             }
-            None => self.busy(),
+            None => self.overloaded(),
         }
     }
 
     fn fleet(&self) -> Vec<u8> {
-        match self.request(|reply| Message::FleetStatusRequested { reply }) {
+        match self.request(|reply| EventLoopMessage::FleetStatusRequested { reply }) {
             Ok(Some(fleet)) => {
                 let body = serde_json::to_string(&fleet).unwrap_or_default();
                 self.success(200, JSON, &body)
             }
             Ok(None) => self.problem(404, "this front has no store in its configuration", &[]),
-            Err(ReplyTimeout) => self.busy(),
+            Err(ReplyTimeout) => self.overloaded(),
         }
     }
 
     /// Sends a request to the event loop and waits for its reply.
-    fn request<T>(&self, message: impl FnOnce(Sender<T>) -> Message) -> Result<T, ReplyTimeout> {
+    fn request<T>(
+        &self,
+        message: impl FnOnce(Sender<T>) -> EventLoopMessage,
+    ) -> Result<T, ReplyTimeout> {
         let (reply, replies) = channel();
         self.shared.send(message(reply));
         recv_until(&replies, clock::now() + REPLY_TIMEOUT).map_err(|_| ReplyTimeout)
     }
 
-    fn busy(&self) -> Vec<u8> {
+    fn overloaded(&self) -> Vec<u8> {
         self.problem(503, "the front has more to do than to tell", &[])
     }
 
@@ -155,8 +160,8 @@
     }
 }
 
-/// The description of the API at this path.
-fn description(path: &str) -> Option<Description> {
+/// The description of the API at this path; `None` if there is none.
+fn api_description(path: &str) -> Option<ApiDescription> {
     let (media_type, text) = match path {
         "/api" => ("text/html", crankpaddle_api::PAGE),
         "/api/session.v2.asyncapi.json" => (JSON, crankpaddle_api::PRESENT),
@@ -164,5 +169,5 @@
         "/api/openapi.json" => (JSON, crankpaddle_api::OPENAPI),
         _ => return None,
     };
-    Some(Description { media_type, text })
+    Some(ApiDescription { media_type, text })
 }
--- a/crates/daemon/src/inventory_client.rs
+++ b/crates/daemon/src/inventory_client.rs
@@ -1,4 +1,5 @@
-//! Requests to servers about a previous incarnation of this front, each in a coroutine of its own.
+//! Requests to servers about set-ups and sessions of a previous incarnation of this front, each in a coroutine of its
+//! own.
 use crate::message::ServerMessage;
 use crate::shared::Shared;
 use crankpaddle_front::ServerId;
@@ -11,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest inventory: some hundred thousand bills.
+/// Largest accepted inventory, enough for some hundred thousand billing keys.
 const MAX_INVENTORY_BYTES: u64 = 16 << 20;
 
 struct ServerResponse {
@@ -19,7 +20,7 @@
     body: Vec<u8>,
 }
 
-/// Fetches a server's inventory; the event loop is notified in any case.
+/// Fetches a server's inventory and sends the event loop the result, also if that failed.
 pub(crate) fn request_inventory(shared: Arc<Shared>, server: ServerId, address: SocketAddr) {
     spawn(Stack::Usual, move || {
         let request = session_inventory::request(&address.to_string(), shared.names.front());
@@ -33,8 +34,8 @@
     });
 }
 
-/// Ends an attempt of a previous incarnation, so that it can't run any more; the event loop is notified
-/// whether that is certain.
+/// Fences an attempt of a previous incarnation: ends it by its name, so that it can't run any more. The event loop is
+/// notified whether the server confirmed that.
 pub(crate) fn fence_attempt(
     shared: Arc<Shared>,
     server: ServerId,
--- a/crates/daemon/src/key_file.rs
+++ b/crates/daemon/src/key_file.rs
@@ -1,4 +1,4 @@
-//! Keys in files.
+//! Reads secret keys from files.
 use crate::errors::{KeyFileError, StartError};
 use std::path::Path;
 
@@ -10,10 +10,10 @@
 /// Hexadecimal digits of a key.
 const KEY_DIGITS: usize = 2 * KEY_BYTES;
 
-/// Reads a key: 32 hexadecimal digits, and white space around them.
+/// Reads a key from a file that holds 32 hexadecimal digits, with or without white space around them.
 ///
 /// # Errors
-/// The file can't be read or holds anything else.
+/// The file can't be read, or holds anything else.
 pub(crate) fn read_key(path: &Path) -> Result<[u8; KEY_BYTES], StartError> {
     let error = |source| StartError::Key {
         path: path.to_owned(),
@@ -24,7 +24,7 @@
 }
 
 fn parse_key(digits: &str) -> Option<[u8; KEY_BYTES]> {
-    // A sign is no digit, though the parser of numbers takes one.
+    // The digits are checked because `from_str_radix` would accept a sign.
     if digits.len() != KEY_DIGITS || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
     }
--- a/crates/daemon/src/key_file/tests.rs
+++ b/crates/daemon/src/key_file/tests.rs
@@ -1,4 +1,4 @@
-//! What a key file may hold.
+//! Tests for the content of key files.
 use super::*;
 
 #[test]
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,24 +1,25 @@
-//! The session front on sockets.
+//! The session front's network daemon: connects players, servers, the list service and other fronts to the core.
 //!
-//! One coroutine, the event loop, owns the core and is the only one that decides. All others read sockets,
-//! send the event loop what they read as messages, and write what it wants sent. All messages go through one
-//! queue, so the event loop sees them in one order.
+//! One coroutine, the event loop, owns the core and is the only one that makes decisions. The other coroutines read
+//! sockets, pass what they receive to the event loop as messages, and write what it sends. All messages go through
+//! one queue, so the event loop handles them in one order.
 //!
-//! - `message`, `shared`: the messages, and what all coroutines share;
-//! - `event_loop`: the decisions, and what is done about them;
+//! - `message`, `shared`: the messages, and the state that all coroutines share;
+//! - `event_loop`: makes the decisions and carries them out;
 //! - `player_listener`, `http_responses`, `websocket_handshake`, `player_session`, `player_calls`: the
 //!   connections of players;
-//! - `player`: one player's connection as all coroutines see it;
-//! - `attempt_sender`: set-ups, each over a connection from the `connection_pool`;
+//! - `player`: the state of one player's connection that coroutines share;
+//! - `attempt_sender`: sends set-ups, each over a connection from the `connection_pool`;
 //! - `server_link`: for each server the subscription to its events, and the queue of rung changes and
 //!   teardowns;
-//! - `server_connection_state`: which sessions at a server are lost, pure;
-//! - `list_service_client`: the list service, and the copy of the list on disk;
-//! - `membership_runner`, `membership_status`: the other fronts, over UDP;
-//! - `recovered_state`: what previous incarnations left, and the front's name; `inventory_client`: what
-//!   servers hold of them;
-//! - `traffic`: cross-zone traffic; `persistence_thread`: files that are replaced as a whole;
-//! - `names`, `config_lookup`: names and numbers; `backoff`, `key_file`, `errors`.
+//! - `server_connection_state`: determines which sessions at a server are lost, without I/O;
+//! - `list_service_client`: the subscription to the list service, and the copy of the endpoint list on disk;
+//! - `membership_runner`, `membership_status`: the membership of the fleet of fronts, over UDP;
+//! - `recovered_state`: the state that previous incarnations stored, and the front's name; `inventory_client`:
+//!   requests servers for the sessions that they hold of previous incarnations;
+//! - `traffic`: accounting of cross-zone traffic; `persistence_thread`: writes files, each replaced as a whole;
+//! - `names`, `config_lookup`: translate between names and numbers;
+//! - `backoff`: pauses between retries; `key_file`: reads secret keys; `errors`: errors for operators.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod attempt_sender;
@@ -54,16 +55,16 @@
 use event_loop::EventLoop;
 use may::net::TcpListener;
 use membership_runner::OpenedMembership;
-use message::Message;
+use message::EventLoopMessage;
 use recovered_state::OpenedState;
-pub use shared::Counts;
 use shared::Shared;
+pub use shared::WorkInProgress;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc, Mutex, PoisonError};
 use std::thread::JoinHandle;
 
-/// The threads that still write to disk when the event loop has ended.
+/// The threads that may still write to disk after the event loop has ended.
 type WriterThreads = Vec<JoinHandle<()>>;
 
 /// A running front.
@@ -72,22 +73,25 @@
     shared: Arc<Shared>,
     /// Ends the coroutines that do not depend on the event loop.
     is_stopped: Arc<AtomicBool>,
+    /// Receives the writer threads once the event loop has ended.
     finished: Mutex<mpsc::Receiver<WriterThreads>>,
 }
 
 impl Daemon {
-    /// Starts a front: it listens when this returns. [`crankpaddle_net::start`] must have been called before.
+    /// Starts a front, which listens for players when this returns. [`crankpaddle_net::start`] must have been called
+    /// before.
     ///
     /// # Errors
-    /// Its address can't be listened on, or what previous incarnations saved on disk can't be used.
+    /// The front can't listen on an address, or can't use its store, a key file or a file that a previous incarnation
+    /// saved.
     pub fn start(config: Config) -> Result<Daemon, StartError> {
-        // Before it listens: the state is read completely before anyone is answered.
+        // The store is opened before the front listens, so that its state is read before any request is answered.
         let store = config.store.as_ref();
         let opened = store.map(recovered_state::open).transpose()?;
         Daemon::run(config, opened)
     }
 
-    /// As [`Daemon::start`], with a store that `open_store` opens; its argument is the identity of the host's boot.
+    /// Like [`Daemon::start`], but opens the store with `open_store`, whose argument identifies the host's boot.
     ///
     /// # Errors
     /// Those of [`Daemon::start`].
@@ -104,7 +108,7 @@
 
     fn run(config: Config, opened: Option<OpenedState>) -> Result<Daemon, StartError> {
         let cached_list = list_service_client::load_cached_list(&config)?;
-        let saved_traffic = traffic::load_saved_account(&config)?;
+        let saved_traffic = traffic::load_saved_report(&config)?;
         let (listener, address) = bind(config.listen)?;
         let peers = config.peers.as_ref();
         let membership = peers.map(membership_runner::open).transpose()?;
@@ -119,7 +123,7 @@
             EventLoop::new(shared.clone(), cached_list, saved_traffic.as_ref(), opened);
         spawn(Stack::Large, move || {
             let writers = event_loop.run(&inbox);
-            let _ = finish.send(writers); // Nobody may wait for it.
+            let _ = finish.send(writers); // Fails if the daemon was dropped, so that nobody waits for it.
         });
         let is_stopped = Arc::new(AtomicBool::new(false));
         list_service_client::follow(shared.clone(), is_stopped.clone());
@@ -137,32 +141,34 @@
         })
     }
 
-    /// The address that it listens on.
+    /// The address on which the front listens for players.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes over the budgets of another configuration; the traffic account stays. All else in it needs a
-    /// restart.
+    /// Applies the traffic budgets of another configuration; the bytes counted so far stay. Changes of other settings
+    /// need a restart.
     ///
     /// # Errors
-    /// Settings differ that the budgets build on; the budgets in force stay.
+    /// A setting differs that the budgets depend on. The current budgets then stay in force.
     pub fn change_budgets(&self, config: Config) -> Result<(), BudgetChangeError> {
         if let Some(changed) = traffic::changed_settings(&self.shared.config, &config) {
             return Err(BudgetChangeError { changed });
         }
         let config = Box::new(config);
-        self.shared.send(Message::BudgetsChanged { config });
+        self.shared
+            .send(EventLoopMessage::BudgetsChanged { config });
         Ok(())
     }
 
-    /// Starts a graceful shutdown: nothing new is taken, requests are answered, then sessions are ended.
+    /// Starts a graceful shutdown: new requests are rejected, pending ones are answered, then sessions are ended.
     pub fn drain(&self) {
-        self.shared.send(Message::DrainRequested);
+        self.shared.send(EventLoopMessage::DrainRequested);
     }
 
-    /// Waits for the end of the shutdown that [`Daemon::drain`] starts. Call on a thread, not in a coroutine.
+    /// Waits for the end of the shutdown that [`Daemon::drain`] starts. It blocks, so it must be called on a thread, not
+    /// in a coroutine.
     pub fn wait(&self) {
         let writers = self
             .finished
@@ -174,18 +180,18 @@
             membership.leave();
         }
         for writer in writers {
-            // All is on disk before the process ends; a writer that panicked has reported it.
+            // Joined so that everything is on disk before the process ends. A panic was already reported.
             let _ = writer.join();
         }
-        // Released to the coroutines that poll it, and to the listener, which the connection wakes.
+        // Coroutines poll this flag. The listener waits for connections, so one is made to wake it.
         self.is_stopped.store(true, Ordering::Release);
         let _ = TcpStream::connect(self.address);
     }
 
-    /// The work in progress, as the event loop last published it.
+    /// The work in progress, as last published by the event loop.
     #[must_use]
-    pub fn counts(&self) -> Counts {
-        self.shared.counts()
+    pub fn work_in_progress(&self) -> WorkInProgress {
+        self.shared.work_in_progress()
     }
 }
 
@@ -197,5 +203,5 @@
 }
 
 fn run_membership(membership: OpenedMembership, shared: Arc<Shared>) {
-    membership.run(move |fronts| shared.send(Message::FleetSizeChanged { fronts }));
+    membership.run(move |fronts| shared.send(EventLoopMessage::FleetSizeChanged { fronts }));
 }
--- a/crates/daemon/src/list_service_client.rs
+++ b/crates/daemon/src/list_service_client.rs
@@ -1,8 +1,8 @@
-//! The subscription to the list service, and the copy of the list on disk that a front starts from without
-//! the service.
+//! The subscription to the list service, and the endpoint list saved on disk, with which a front starts while the
+//! service is unavailable.
 use crate::backoff::ExponentialBackoff;
 use crate::errors::{SavedFileError, StartError};
-use crate::message::Message;
+use crate::message::EventLoopMessage;
 use crate::shared::Shared;
 use crankpaddle_config::Config;
 use crankpaddle_http::head::OK;
@@ -16,16 +16,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Backoff between subscriptions, before jitter is applied.
 const BACKOFF: ExponentialBackoff = ExponentialBackoff {
     initial: Duration::from_millis(100),
     max: Duration::from_secs(2),
 };
 
-/// The service can't be reached, or sent no list that could be parsed.
+/// A subscription ended without a valid endpoint list.
 struct NoListReceived;
 
-/// The list as a previous incarnation saved it, if there is one. A malformed copy is ignored: the service
-/// sends another.
+/// Loads the endpoint list that a previous incarnation saved, if there is one. A malformed file is ignored, because the
+/// service sends a new list.
 ///
 /// # Errors
 /// The file can't be read.
@@ -52,13 +53,13 @@
     }
 }
 
-/// Follows the service until `is_stopped`.
+/// Starts a coroutine that keeps a subscription to the list service until `is_stopped` is set.
 pub(crate) fn follow(shared: Arc<Shared>, is_stopped: Arc<AtomicBool>) {
     spawn(Stack::Usual, move || {
         let mut consecutive_failures = 0u32;
         while !is_stopped.load(Ordering::Acquire) {
             let result = subscribe(&shared);
-            shared.send(Message::EndpointListUnavailable);
+            shared.send(EventLoopMessage::EndpointListUnavailable);
             consecutive_failures = match result {
                 Ok(()) => 0,
                 Err(NoListReceived) => consecutive_failures + 1,
@@ -68,13 +69,13 @@
     });
 }
 
-/// The backoff with half of it random, so that fronts do not reconnect at the same time.
+/// The backoff with random jitter: between half of it and all of it, so that fronts do not reconnect at the same time.
 fn backoff_with_jitter(consecutive_failures: u32) -> Duration {
     let longest = nanoseconds(BACKOFF.pause(consecutive_failures));
     Duration::from_nanos(rand::random_range(longest / 2..=longest))
 }
 
-/// Receives lists until the stream ends; `Ok` if at least one came.
+/// Subscribes and passes endpoint lists to the event loop until the stream ends. Returns `Ok` if at least one arrived.
 fn subscribe(shared: &Shared) -> Result<(), NoListReceived> {
     let mut events = open_stream(shared).ok_or(NoListReceived)?;
     let mut result = Err(NoListReceived);
@@ -91,11 +92,11 @@
         match list::read(&event) {
             Ok(Some((kind, list))) => {
                 result = Ok(());
-                shared.send(Message::EndpointListReceived { kind, list });
+                shared.send(EventLoopMessage::EndpointListReceived { kind, list });
             }
-            Ok(None) => {} // A kind that a later release of the service sends.
-            // Why it ends here: after a change that can't be read, later ones would apply to the wrong list.
-            // A new subscription starts with a full list.
+            Ok(None) => {} // An unknown kind of event, which a later release of the service may send.
+            // The subscription ends here, because changes after one that can't be read would be applied to the wrong
+            // list. A new subscription starts with a full list.
             Err(reason) => {
                 tracing::warn!(%reason, "list service stream malformed");
                 return result;
--- a/crates/daemon/src/membership_runner.rs
+++ b/crates/daemon/src/membership_runner.rs
@@ -1,8 +1,8 @@
-//! The membership of the fleet, over UDP: one coroutine reads datagrams, one owns the state machine and
-//! sends.
+//! Runs the membership protocol of the fleet over UDP. One coroutine reads datagrams, and another owns the protocol's
+//! state machine and sends datagrams.
 //!
-//! The event loop only receives the number of fronts: no set-up waits behind a peer's datagram. A datagram
-//! that can't be sent at once is dropped; the state machine tolerates loss.
+//! The event loop receives nothing but the number of fronts, so that no set-up waits behind a peer's datagram. A
+//! datagram that can't be sent at once is dropped; the protocol tolerates loss.
 use crate::errors::StartError;
 use crate::key_file;
 use crate::membership_status::{describe_members, ChangeHistory};
@@ -22,15 +22,16 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Commands handled before timers are checked.
+/// Most commands handled before timers are checked.
 const COMMAND_BATCH: usize = 64;
-/// A socket that can't be read is tried again after this time.
+/// The pause after a failed read of the socket.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Bytes of a datagram that are read; a peer's is never longer.
+/// Size of the receive buffer; a peer's datagram is never longer.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Longest wait for the announcement that this front leaves.
+/// Longest wait until the announcement that this front leaves is sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
 
+/// A command to the coroutine that owns the membership.
 enum Command {
     Receive { from: SocketAddr, bytes: Vec<u8> },
     Leave { done: std::sync::mpsc::Sender<()> },
@@ -42,36 +43,37 @@
 pub(crate) struct MembershipHandle(Sender<Command>);
 
 impl MembershipHandle {
-    /// This front's view of its peers; `None` where there is no reply until `deadline`. Call in a coroutine.
+    /// This front's view of its peers; `None` if there is no reply before `deadline`. Must be called in a coroutine.
     pub(crate) fn members(&self, deadline: Time) -> Option<Members> {
         let (reply, replies) = channel();
         self.0.send(Command::DescribeMembers { reply }).ok()?;
         recv_until(&replies, deadline).ok()
     }
 
-    /// Announces to the peers that this front leaves. Call on a thread, not in a coroutine.
+    /// Announces to the peers that this front leaves. It blocks, so it must be called on a thread, not in a coroutine.
     pub(crate) fn leave(&self) {
         let (done, left) = std::sync::mpsc::channel();
         if self.0.send(Command::Leave { done }).is_ok() {
-            let _ = left.recv_timeout(LEAVE_TIMEOUT); // After a timeout the peers detect it by their probes.
+            // After a timeout nothing is lost: the peers' probes detect that this front is gone.
+            let _ = left.recv_timeout(LEAVE_TIMEOUT);
         }
     }
 }
 
-/// The configuration, socket and command queue with which the membership is run.
+/// A membership that is ready to run: its configuration, socket and command queue.
 pub(crate) struct OpenedMembership {
     config: MembershipConfig,
     socket: Arc<UdpSocket>,
-    /// Configured addresses of peers, by name; they take precedence over the announced ones.
-    routes: HashMap<String, SocketAddr>,
+    /// Configured addresses of peers, by name. They take precedence over the addresses that peers announce.
+    address_overrides: HashMap<String, SocketAddr>,
     commands: Sender<Command>,
     inbox: Receiver<Command>,
 }
 
-/// Reads the key and opens the socket.
+/// Reads the key file and opens the socket.
 ///
 /// # Errors
-/// The key can't be read, or the address can't be listened on.
+/// The key can't be read, or the front can't listen on the address.
 pub(crate) fn open(
     config: &PeersConfig,
 ) -> Result<(OpenedMembership, MembershipHandle), StartError> {
@@ -95,7 +97,7 @@
     let opened = OpenedMembership {
         config: membership_config,
         socket,
-        routes: config.ways.clone(),
+        address_overrides: config.ways.clone(),
         commands,
         inbox,
     };
@@ -126,8 +128,8 @@
 }
 
 impl OpenedMembership {
-    /// Starts the coroutines. `on_fleet_size` is called with the number of known fronts, this one included,
-    /// whenever it changes.
+    /// Starts the coroutines. Whenever the number of known fronts changes, `on_fleet_size` is called with it; the number
+    /// includes this front.
     pub(crate) fn run(self, on_fleet_size: impl Fn(u32) + Send + 'static) {
         let reader_socket = self.socket.clone();
         let commands = self.commands;
@@ -137,7 +139,7 @@
         let runner = MembershipRunner {
             membership: Membership::new(self.config, rand::random(), clock::now()),
             socket: self.socket,
-            routes: self.routes,
+            address_overrides: self.address_overrides,
             outputs: Vec::new(),
             history: ChangeHistory::default(),
             on_fleet_size: Box::new(on_fleet_size),
@@ -158,19 +160,21 @@
                     return;
                 }
             }
-            // The host's network may report that a peer can't be reached; the socket itself still works.
+            // An error may only report that a peer can't be reached, so the socket is still used.
             Err(_) => crankpaddle_net::sleep(READ_RETRY_INTERVAL),
         }
     }
 }
 
+/// The state of the coroutine that owns the membership.
 struct MembershipRunner {
     membership: Membership,
     socket: Arc<UdpSocket>,
-    routes: HashMap<String, SocketAddr>,
+    address_overrides: HashMap<String, SocketAddr>,
     outputs: Vec<Output>,
     history: ChangeHistory,
     on_fleet_size: Box<dyn Fn(u32) + Send>,
+    /// The number last passed to `on_fleet_size`; 0 before the first call.
     reported_fleet_size: u32,
 }
 
@@ -179,7 +183,7 @@
         while self.run_once(inbox).is_continue() {}
     }
 
-    /// Handles the commands that come until the next deadline, then the timers.
+    /// Waits for commands until the next timer is due, then handles queued commands and due timers.
     fn run_once(&mut self, inbox: &Receiver<Command>) -> ControlFlow<()> {
         let now = clock::now();
         let deadline = self.membership.next_expiry();
@@ -200,7 +204,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Breaks after the front left.
+    /// Handles a command. Returns [`ControlFlow::Break`] after [`Command::Leave`].
     fn handle_command(&mut self, command: Command) -> ControlFlow<()> {
         match command {
             Command::Receive { from, bytes } => {
@@ -236,7 +240,7 @@
                 Output::LocalHealthChanged(LocalHealth::Replaced) => {
                     tracing::error!(
                         reason = "another process has this front's name among its peers",
-                        "membership silenced"
+                        "membership stopped"
                     );
                 }
                 Output::LocalHealthChanged(local_health) => {
@@ -244,19 +248,20 @@
                 }
             }
         }
-        self.outputs = outputs; // Its memory is reused.
+        self.outputs = outputs; // Reuses the allocation.
         self.report_fleet_size();
     }
 
     fn send_datagram(&self, name: &str, announced_address: &str, bytes: &[u8]) {
-        let route = self.routes.get(name).copied();
-        if let Some(address) = route.or_else(|| announced_address.parse().ok()) {
+        let configured = self.address_overrides.get(name).copied();
+        if let Some(address) = configured.or_else(|| announced_address.parse().ok()) {
             // A datagram that can't be sent at once is dropped.
             let _ = self.socket.inner().send_to(bytes, address);
         }
     }
 
-    /// Logs a change. The field `by` and the names of the states are read by `crates/cli/tests/fleet.rs`.
+    /// Logs and records a change of a member's state. `crates/cli/tests/fleet.rs` matches the field `by` and the names of
+    /// the states in the log.
     fn member_changed(&mut self, change: MemberChange) {
         let state = change.state;
         match state {
--- a/crates/daemon/src/membership_status.rs
+++ b/crates/daemon/src/membership_status.rs
@@ -4,7 +4,7 @@
 use crankpaddle_time::Time;
 use std::collections::VecDeque;
 
-/// The most changes that are kept.
+/// Most changes that are kept; older ones are dropped.
 const MAX_CHANGES: usize = 256;
 
 struct RecordedChange {
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub(crate) struct ChangeHistory {
     changes: VecDeque<RecordedChange>,
-    /// Number of all changes so far, the dropped ones included.
+    /// Number of all changes so far, including dropped ones.
     total: u64,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The reply, as of `now`.
+/// Creates the reply as of `now`.
 pub(crate) fn describe_members(
     now: Time,
     membership: &Membership,
@@ -52,17 +52,17 @@
 ) -> Members {
     let counters = membership.counters();
     let members = membership.members().into_iter();
-    let named = counters.named().into_iter();
+    let named_counters = counters.named().into_iter();
     Members {
         name: membership.name().to_owned(),
         address: membership.address().to_owned(),
-        // The fields are named as in the JSON of `GET /members`.
+        // The names of these fields are published in the JSON of `GET /members`, so they stay.
         standing: local_health_status(membership.local_health()),
         members: members.map(|member| describe_member(now, member)).collect(),
         sent: counters.datagrams_sent,
         heard: counters.datagrams_received,
         dropped: counters.dropped(),
-        counted: named
+        counted: named_counters
             .map(|(name, count)| (name.to_owned(), count))
             .collect(),
         turns: history.describe(now),
--- a/crates/daemon/src/message.rs
+++ b/crates/daemon/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages that the event loop receives from all other coroutines, in one queue.
-use crate::player::Player;
+//! The messages that the event loop receives from all other coroutines through one queue.
+use crate::player::PlayerConnection;
 use crankpaddle_api::describe::Fleet;
 use crankpaddle_config::Config;
 use crankpaddle_front::{
@@ -13,27 +13,27 @@
 use may::sync::mpsc;
 use std::sync::Arc;
 
-/// An event for the event loop. Times are of [`crankpaddle_net::clock`].
-pub(crate) enum Message {
+/// A message to the event loop. Times are readings of [`crankpaddle_net::clock`].
+pub(crate) enum EventLoopMessage {
     /// A player's WebSocket connection was established.
-    PlayerConnected { player: Arc<Player> },
+    PlayerConnected { player: Arc<PlayerConnection> },
     /// A player called a method that the core decides on.
     PlayerRequest { input: Input },
     /// A player's connection was closed.
     PlayerDisconnected { player: PlayerId },
-    /// A server answered a set-up, or the attempt failed.
+    /// A server answered a set-up, or the attempt failed without an answer.
     SetUpCompleted {
         attempt: AttemptId,
         result: SetUpResult,
     },
-    /// A server sent something, or could not be reached.
+    /// A server sent a message, or could not be reached.
     Server {
         server: ServerId,
         message: ServerMessage,
     },
-    /// An operator changed the budgets: those of this configuration replace the ones in force.
+    /// An operator changed the budgets. Those of `config` replace the current ones.
     BudgetsChanged { config: Box<Config> },
-    /// The traffic report was requested; it is sent to `reply` as JSON.
+    /// The traffic report was requested. It is sent to `reply` as JSON.
     TrafficReportRequested { reply: mpsc::Sender<String> },
     /// The list service sent an endpoint list, full or a delta.
     EndpointListReceived {
@@ -42,54 +42,55 @@
     },
     /// The subscription to the list service failed or ended.
     EndpointListUnavailable,
-    /// The store wrote the intent of an attempt, or failed to: then `is_durable` is false.
+    /// The intent of an attempt is on disk, or if `is_durable` is false, the store failed to write it.
     IntentWritten {
         attempt: AttemptId,
         is_durable: bool,
     },
-    /// The status of recovery was requested; `None` is sent to `reply` where no store is configured.
+    /// The status of recovery was requested. It is sent to `reply`, or `None` if no store is configured.
     FleetStatusRequested { reply: mpsc::Sender<Option<Fleet>> },
-    /// The number of known fronts changed; this front is included.
+    /// The number of known fronts changed. `fronts` includes this one.
     FleetSizeChanged { fronts: u32 },
     /// A graceful shutdown was requested.
     DrainRequested,
 }
 
-/// An event of one server. Sessions and attempts have their names at the server.
+/// A message about one server. Sessions and attempts are identified by their names at the server.
 pub(crate) enum ServerMessage {
-    /// Its event stream began, in response to a request sent at `requested_at`.
+    /// The server's event stream started, in response to a request sent at `requested_at`.
     StreamStarted {
         start: StreamStart,
         requested_at: Time,
     },
-    /// It closed its event stream; it was alive until now.
+    /// The server closed its event stream, so it was alive until now.
     StreamClosed,
-    /// It can't be reached, as a request sent at `requested_at` showed: its sessions are ended.
+    /// The server can't be reached, as a request sent at `requested_at` showed. Its sessions are ended.
     Unreachable { requested_at: Time },
-    /// It reported updates of a session.
+    /// The server reported updates of a session.
     SessionUpdated {
         session_name: String,
         updates: Vec<SessionUpdate>,
     },
-    /// A session ended there.
+    /// A session ended at the server.
     SessionEnded {
         session_name: String,
         outcome: AttemptOutcome,
-        /// All media bytes that were sent for it, where the server counts them.
+        /// Total media bytes sent for the session; `None` if the server does not count them.
         sent_bytes: Option<u64>,
     },
-    /// It counted the bytes of sessions and the traffic to other zones.
+    /// The server reported the bytes sent for sessions and its traffic to other zones.
     TrafficCounted { counts: TrafficCounts },
-    /// It answered a teardown with all media bytes that it had sent.
+    /// The server answered a teardown.
     TearDownCompleted {
         session_name: String,
+        /// Total media bytes that the server sent for the session.
         sent_bytes: u64,
     },
-    /// It sent its inventory of this front's sessions.
+    /// The server sent its inventory of this front's sessions.
     InventoryReceived { inventory: SessionInventory },
-    /// Its inventory could not be fetched.
+    /// The server's inventory could not be fetched.
     InventoryUnavailable,
-    /// An attempt of a previous incarnation was fenced there, or the server did not confirm it.
+    /// The server was requested to fence an attempt of a previous incarnation, and confirmed it or did not.
     FenceCompleted {
         attempt_name: String,
         is_confirmed: bool,
--- a/crates/daemon/src/names.rs
+++ b/crates/daemon/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of attempts at servers, and the configured names that players use in their calls.
+//! Names of attempts at servers, and the lookup of configured names that players use in their calls.
 use crate::config_lookup::index_of;
 use crankpaddle_config::Config;
 use crankpaddle_front::{AttemptId, OpenRequest};
@@ -9,22 +9,24 @@
 use std::hash::{BuildHasher, DefaultHasher, Hash, Hasher, RandomState};
 use std::time::Duration;
 
-/// Names attempts. No name can be guessed from another: a session's media can be fetched by its name.
+/// Gives each attempt its name at the server. Names contain a keyed hash, so that none can be guessed from another:
+/// whoever knows a session's name can fetch its media.
 pub(crate) struct AttemptNames {
     hash_key: RandomState,
     front: String,
 }
 
 impl AttemptNames {
-    /// `front`: the front's name at servers, the same in all its incarnations; where there is none, one is
-    /// drawn.
+    /// Creates the names for a front. `front` is its name at servers, the same in all its incarnations; if it is
+    /// `None`, this incarnation gets a random name.
     pub(crate) fn new(front: Option<String>) -> AttemptNames {
         let hash_key = RandomState::new();
         let front = front.unwrap_or_else(|| format!("f{:016x}", hash_key.hash_one("front")));
         AttemptNames { hash_key, front }
     }
 
-    /// The front's name, by which servers address their events; without a store it is this incarnation's.
+    /// The front's name at servers, which selects the events that they send to it. Without a store it is valid for this
+    /// incarnation only.
     pub(crate) fn front(&self) -> &str {
         &self.front
     }
@@ -35,7 +37,7 @@
         format!("{hash:016x}-{:x}", attempt.0)
     }
 
-    /// The attempt of a name; `None` where this incarnation of the front did not give it.
+    /// The attempt of a name; `None` if this incarnation of the front did not create the name.
     pub(crate) fn attempt_of(&self, name: &str) -> Option<AttemptId> {
         let (_, digits) = name.split_once('-')?;
         let attempt = AttemptId(u64::from_str_radix(digits, 16).ok()?);
@@ -43,10 +45,10 @@
     }
 }
 
-/// The number of a tenant that a call names; where none is configured, none need be named.
+/// The number of the tenant that a call names. A call need not name one if no tenant is configured.
 ///
 /// # Errors
-/// No such tenant is configured, or none is named and there are some.
+/// The tenant is not configured, or the call names none although tenants are configured.
 pub(crate) fn tenant(config: &Config, name: Option<&str>) -> Result<u16, Error> {
     let Some(name) = name else {
         if config.tenants.is_empty() {
@@ -60,7 +62,7 @@
     }
 }
 
-/// A player's request in the core's terms.
+/// Converts a player's request to the core's request.
 ///
 /// # Errors
 /// It names a title, class or tenant that is not configured.
@@ -82,13 +84,14 @@
         max_wait: open.give_up_ms.map_or(Duration::MAX, Duration::from_millis),
         duration_hint: open.hint_ms.map(Duration::from_millis),
         is_retry: open.again,
-        is_migration: false, // The core knows by the key.
-        // A digest: the key itself gives access to the session, and neither the core nor the store needs it.
+        is_migration: false, // The core detects a migration by the key.
+        // A digest is passed on, because the key itself gives access to the session and neither the core nor the store
+        // needs it.
         key: sessions::billing_key(&open.key),
     })
 }
 
-/// The same number for the same viewer at every front, so the hash has no key.
+/// Hashes a viewer's name to a number. The hash has no random key, so that all fronts compute the same number.
 fn viewer_number(viewer: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     viewer.hash(&mut hasher);
--- a/crates/daemon/src/persistence_thread.rs
+++ b/crates/daemon/src/persistence_thread.rs
@@ -1,4 +1,4 @@
-//! Files that are replaced as a whole by a thread of their own: a coroutine must not wait for a disk.
+//! Writes files, each replaced as a whole, on a thread of its own, because a coroutine must not wait for a disk.
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -10,11 +10,11 @@
     thread: JoinHandle<()>,
 }
 
-/// Writes the latest text that it is given to a file; one that a newer text follows at once may be skipped.
+/// Writes the latest queued text to a file. A text may be skipped if a newer one is queued before it is written.
 pub(crate) struct FileWriter(Option<WriterThread>);
 
 impl FileWriter {
-    /// A writer to this file; without a path it writes nothing. `content` names the texts in the log.
+    /// Starts a writer to a file; if `path` is `None`, it writes nothing. `content` names the file's content in log lines.
     pub(crate) fn start(path: Option<PathBuf>, content: &'static str) -> FileWriter {
         let writer = path.map(|path| {
             let (texts, queue) = mpsc::channel::<String>();
@@ -24,19 +24,19 @@
         FileWriter(writer)
     }
 
-    /// Whether anything is written at all.
+    /// Whether the writer has a file to write.
     pub(crate) fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Queues a text.
+    /// Queues a text to replace the file's content.
     pub(crate) fn write(&self, text: String) {
         if let Some(writer) = &self.0 {
-            let _ = writer.texts.send(text); // The thread ends with this sender only.
+            let _ = writer.texts.send(text); // Never fails: the thread lives as long as this sender.
         }
     }
 
-    /// Ends the queue; returns the thread that still writes, to be joined where waiting is allowed.
+    /// Closes the queue and returns the thread, which may still be writing. It must be joined where blocking is allowed.
     pub(crate) fn finish(self) -> Option<JoinHandle<()>> {
         self.0.map(|writer| writer.thread)
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Replaces a file as a whole: at any moment the old or the new one is there.
+/// Replaces a file atomically: at any moment either the old or the new content is there.
 fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let next = path.with_extension("new");
     let mut file = File::create(&next)?;
--- a/crates/daemon/src/player.rs
+++ b/crates/daemon/src/player.rs
@@ -1,5 +1,5 @@
-//! A player's connection, shared by the event loop and the coroutine that reads it: pending calls, and what
-//! is sent.
+//! A player's connection, shared by the event loop and the coroutine that reads it: its pending calls and the bytes to
+//! send.
 use crankpaddle_front::{PlayerId, RequestId};
 use crankpaddle_net::{clock, CloseReason, Socket, WriteBuffer};
 use crankpaddle_session_api::calls::Calls;
@@ -17,33 +17,38 @@
 #[cfg(test)]
 mod tests;
 
-/// After a close, the peer gets this long to close too.
+/// Longest wait for the peer to close its side after this side has closed.
 pub(crate) const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The value of [`Player::pinged_at`] without a ping since the last message.
+/// The value of [`PlayerConnection::pinged_at`] if no ping was sent since the last message.
 const NOT_PINGED: Time = Time::ZERO;
 
-/// The number of the next player; numbers are unique in the process.
+/// The id of the next player; ids are unique within the process.
 static NEXT_PLAYER_ID: AtomicU64 = AtomicU64::new(1);
 
 /// A player's connection.
 ///
-/// The two times are read by the idle check and written by the coroutine that reads the connection. They
-/// order nothing, so `Relaxed` is enough: a check that sees an old time pings once more than needed.
-pub(crate) struct Player {
+/// The idle check reads both times, and the coroutine that reads the connection writes them. They are `Relaxed`,
+/// because no other memory is published through them, and a check that sees an old time only sends a needless ping.
+pub(crate) struct PlayerConnection {
     pub id: PlayerId,
     pub version: Version,
-    /// Bytes to send, from the event loop and from the connection's own coroutine.
+    /// Bytes to send. Both the event loop and the connection's own coroutine add to it.
     pub outbox: WriteBuffer,
     calls: Mutex<Calls>,
     last_received: AtomicTime,
-    /// [`NOT_PINGED`], or the time of the ping that was not answered yet.
+    /// When the ping that was not answered yet was sent, or [`NOT_PINGED`].
     pinged_at: AtomicTime,
 }
 
-impl Player {
-    /// A player that has just connected. `max_unread`: bytes that may wait to be sent.
-    pub(crate) fn new(socket: Arc<Socket>, version: Version, max_unread: usize) -> Player {
-        Player {
+impl PlayerConnection {
+    /// Creates the connection of a player that has just connected. `max_unread` is the number of bytes that may wait to be
+    /// sent.
+    pub(crate) fn new(
+        socket: Arc<Socket>,
+        version: Version,
+        max_unread: usize,
+    ) -> PlayerConnection {
+        PlayerConnection {
             id: PlayerId(NEXT_PLAYER_ID.fetch_add(1, Ordering::Relaxed)),
             version,
             outbox: WriteBuffer::new(socket, max_unread),
@@ -53,23 +58,23 @@
         }
     }
 
-    /// Answers a call; a call that is not pending is ignored. `session`: the session that the answer makes
-    /// known.
+    /// Answers a call; a call that is not pending is ignored. `session` is the session that the answer announces to the
+    /// player, if any.
     pub(crate) fn answer(
         &self,
         number: u64,
         session: Option<RequestId>,
         body: impl FnOnce(&Id) -> Value,
     ) {
-        // Why it is sent under the lock: the lock orders notifications after the answer that they follow, so
-        // the order of sending must be the same. Sending only queues bytes and never waits.
+        // The lock is held while sending, so that a notification of a session can't be sent before the answer that
+        // announces the session. Sending only queues bytes and never waits.
         let mut calls = self.calls();
         for value in calls.answer(number, session.map(|session| session.0), body) {
             self.send(&value);
         }
     }
 
-    /// Notifies of a session, after the answer that makes it known.
+    /// Sends a notification about a session. It is held back until the answer that announces the session is sent.
     pub(crate) fn notify(&self, session: RequestId, notification: Value) {
         let mut calls = self.calls();
         if let Some(value) = calls.notify(session.0, notification) {
@@ -77,12 +82,12 @@
         }
     }
 
-    /// The pending calls. The lock must not be held over a wait.
+    /// Locks and returns the pending calls. The lock must not be held across a wait.
     pub(crate) fn calls(&self) -> MutexGuard<'_, Calls> {
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Queues a JSON text.
+    /// Queues a JSON value as a text message.
     pub(crate) fn send(&self, value: &Value) {
         let text = OpCode::Data(Data::Text);
         self.send_frame(Frame::message(value.to_string(), text, true));
@@ -108,13 +113,14 @@
         }
     }
 
-    /// Bytes were received: the player is alive.
+    /// Records that bytes were received, which shows that the player is alive.
     pub(crate) fn received(&self) {
         self.last_received.store(clock::now(), Ordering::Relaxed);
         self.pinged_at.store(NOT_PINGED, Ordering::Relaxed);
     }
 
-    /// Pings a player that has been silent for `idle_timeout`, and closes one that did not answer.
+    /// Pings the player after a silence of `idle_timeout`, and closes the connection if the ping is not answered within
+    /// the same time.
     pub(crate) fn enforce_idle_timeout(&self, now: Time, idle_timeout: Duration) {
         let last_received = self.last_received.load(Ordering::Relaxed);
         let pinged_at = self.pinged_at.load(Ordering::Relaxed);
@@ -130,21 +136,21 @@
     }
 }
 
-/// What a player's silence calls for.
+/// The next action of the idle check for a player.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IdleAction {
-    /// It has not been silent for long, or was pinged and still has time to answer.
+    /// Do nothing: the player was heard from recently, or still has time to answer a ping.
     Wait,
-    /// It has been silent for too long.
+    /// Send a ping: the player has been silent for too long.
     Ping,
-    /// It did not answer a ping.
+    /// Close the connection: the player did not answer a ping.
     Close,
 }
 
-/// What a player's silence calls for. `pinged_at`: when it was pinged, if it was since its last message.
+/// Decides what the idle check does with a player. `pinged_at` is when it was pinged after its last message, if it was.
 ///
-/// Why a ping always comes first: if silence alone counted, every player would be closed when this process
-/// had stalled, and all of them would reconnect at once.
+/// A player is always pinged before its connection is closed. If silence alone were enough, a stall of this process
+/// would make it close the connections of all players, which would then reconnect at once.
 fn idle_action(
     now: Time,
     last_received: Time,
--- a/crates/daemon/src/player/tests.rs
+++ b/crates/daemon/src/player/tests.rs
@@ -1,4 +1,4 @@
-//! What a player's silence calls for.
+//! Tests for the idle check of players.
 use super::*;
 
 #[test]
@@ -20,7 +20,8 @@
         idle_action(Time(162), Time(100), Some(Time(131)), idle),
         IdleAction::Close
     );
-    // No check for a thousand times the timeout: it is pinged all the same, and has its time to answer.
+    // After a stall of a thousand timeouts without a check, the player is still pinged first and has the full timeout to
+    // answer.
     assert_eq!(
         idle_action(Time(30_000), Time(100), None, idle),
         IdleAction::Ping
--- a/crates/daemon/src/player_calls.rs
+++ b/crates/daemon/src/player_calls.rs
@@ -1,7 +1,7 @@
-//! Calls of a player: from a text to requests for the event loop, or to errors at once.
-use crate::message::Message;
+//! Parses a player's calls. Valid ones become requests to the event loop; others are answered with errors at once.
+use crate::message::EventLoopMessage;
 use crate::names;
-use crate::player::Player;
+use crate::player::PlayerConnection;
 use crate::shared::Shared;
 use crankpaddle_front::{Call, Input, RequestId};
 use crankpaddle_net::clock;
@@ -10,15 +10,16 @@
 use crankpaddle_session_api::methods::{session_number, Method};
 use std::time::Duration;
 
-/// Reads the calls of one connection and numbers them.
+/// Parses the calls of one connection and numbers them.
 pub(crate) struct CallReader<'a> {
     shared: &'a Shared,
-    player: &'a Player,
+    player: &'a PlayerConnection,
+    /// The number of the last call; the first call gets 1.
     last_number: u64,
 }
 
 impl CallReader<'_> {
-    pub(crate) fn new<'a>(shared: &'a Shared, player: &'a Player) -> CallReader<'a> {
+    pub(crate) fn new<'a>(shared: &'a Shared, player: &'a PlayerConnection) -> CallReader<'a> {
         CallReader {
             shared,
             player,
@@ -26,13 +27,13 @@
         }
     }
 
-    /// Handles one text: a call, or a batch of calls whose answers go back together.
+    /// Handles one text message: a call, or a batch of calls, whose answers are sent together.
     pub(crate) fn handle_text(&mut self, text: &str) {
         let (members, is_batch) = match jsonrpc::read(text) {
             jsonrpc::Message::One(member) => (vec![member], false),
             jsonrpc::Message::Batch(members) => (members, true),
         };
-        let batch = is_batch.then_some(self.last_number + 1); // Named by its first call.
+        let batch = is_batch.then_some(self.last_number + 1); // A batch is identified by its first call's number.
         if let Some(batch) = batch {
             self.player.calls().begin(batch, answer_count(&members));
         }
@@ -45,11 +46,11 @@
             self.limit_batch_wait(&mut inputs);
         }
         for input in inputs {
-            self.shared.send(Message::PlayerRequest { input });
+            self.shared.send(EventLoopMessage::PlayerRequest { input });
         }
     }
 
-    /// The input that a call becomes; `None` where it is answered with an error, or not at all.
+    /// Converts a call to an input for the core; `None` if it is ignored or was answered with an error.
     fn read_member(&self, member: Member, batch: Option<u64>) -> Option<Input> {
         let call = match member {
             Ok(call) => call,
@@ -62,7 +63,7 @@
         let method = Method::parse(&call.method, call.params);
         let input = method.and_then(|method| self.input(number, method));
         match (input, call.id) {
-            // Without an answer the player would not learn of its session.
+            // Ignored: without an answer the player would never get to know its session.
             (Ok(Input::Open { .. } | Input::Resume { .. }), None) => None,
             (Ok(input), None) => Some(input),
             (Ok(input), Some(id)) => {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// A call in the core's terms.
+    /// Converts a method call to the core's input.
     fn input(&self, number: u64, method: Method) -> Result<Input, Error> {
         let config = &self.shared.config;
         let call = Call {
@@ -97,20 +98,21 @@
             },
             Method::Close(close) => Input::Close {
                 call,
-                // A malformed name becomes a number that no session has.
+                // Zero stands for a malformed name; no session has this number.
                 session: RequestId(session_number(&close.session).unwrap_or(0)),
             },
         })
     }
 
     fn answer_error(&self, batch: Option<u64>, id: &Id, error: &Error) {
-        let mut calls = self.player.calls(); // Held while sending, which never waits; see `Player::answer`.
+        // Locked while sending, for the reason given in `PlayerConnection::answer`.
+        let mut calls = self.player.calls();
         for value in calls.answer_directly(batch, None, jsonrpc::error(id, error)) {
             self.player.send(&value);
         }
     }
 
-    /// The answers of a batch go back together, so none may wait longer than the shortest wait in it.
+    /// Limits the wait of all requests in a batch to the shortest of them, because the answers are sent together.
     fn limit_batch_wait(&self, inputs: &mut [Input]) {
         let waits = inputs.iter().map(|input| self.wait_limit(input));
         let shortest = waits.min().unwrap_or(Duration::MAX);
@@ -121,7 +123,7 @@
         }
     }
 
-    /// How long a request may wait, by its viewer and its class.
+    /// Longest time that a request may wait: the lower of the viewer's limit and the class's limit.
     fn wait_limit(&self, input: &Input) -> Duration {
         let Input::Open { open, .. } = input else {
             return Duration::MAX;
@@ -132,7 +134,7 @@
     }
 }
 
-/// How many members of a batch get an answer: all but well-formed notifications.
+/// The number of batch members that get an answer: all except well-formed notifications.
 fn answer_count(members: &[Member]) -> usize {
     let is_answered = |member: &&Member| match member {
         Ok(call) => call.id.is_some(),
--- a/crates/daemon/src/player_listener.rs
+++ b/crates/daemon/src/player_listener.rs
@@ -1,4 +1,4 @@
-//! Connections of players, from their acceptance on: HTTP requests until one upgrades to WebSocket.
+//! Serves accepted connections: answers HTTP requests until one upgrades the connection to WebSocket.
 use crate::http_responses::{self, CLOSE};
 use crate::player::CLOSE_TIMEOUT;
 use crate::shared::Shared;
@@ -11,13 +11,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest body of a request.
+/// Largest accepted body of a request.
 const MAX_BODY_BYTES: u64 = 64 * 1024;
-/// Idle players are looked for this often: the timeout is tens of seconds.
+/// Time between two idle checks of all players; the idle timeout is tens of seconds.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-const MILLISECOND: u64 = 1_000_000;
+/// Nanoseconds in a millisecond.
+const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// Pings silent players and closes those that stay silent, until `is_stopped`.
+/// Starts a coroutine that pings silent players and closes the connections of those that stay silent. It ends when
+/// `is_stopped` is set.
 pub(crate) fn watch_idle_players(shared: Arc<Shared>, is_stopped: Arc<AtomicBool>) {
     let idle_timeout = shared.limits().idle;
     spawn(Stack::Usual, move || {
@@ -29,10 +31,10 @@
     });
 }
 
-/// Serves a connection until it ends.
+/// Serves an accepted connection until it ends.
 pub(crate) fn serve(socket: Socket, shared: &Arc<Shared>) {
     let socket = Arc::new(socket);
-    let _connection = CountedConnection::open(shared.clone());
+    let _open_connection = CountedConnection::open(shared.clone());
     let limits = shared.limits();
     if shared.connections() > limits.connections {
         return reject_connection(shared, &socket);
@@ -72,21 +74,22 @@
     }
 }
 
-/// Sends a connection's last response and closes it.
+/// Sends the last response of a connection and closes it.
 fn send_last(socket: &Arc<Socket>, response: &[u8]) {
-    let _ = socket.write_all(response); // The connection ends in any case.
+    let _ = socket.write_all(response); // The connection is closed even if this fails.
     socket.finish(CLOSE_TIMEOUT);
 }
 
-/// Load shedding: the response goes out at once or not at all, and the connection is closed early.
+/// Rejects a connection beyond the limit. To shed load, the response is not waited for and the peer gets less time to
+/// close than usual.
 fn reject_connection(shared: &Shared, socket: &Arc<Socket>) {
     let mut problem = Problem::new(503, "the front has as many connections as it may");
-    problem.retry_after_ms = Some(shared.config.settings.max_retry_after / MILLISECOND);
+    problem.retry_after_ms = Some(shared.config.settings.max_retry_after / NANOS_PER_MILLI);
     let _ = socket.try_write(&problem.response(&[CLOSE]));
     socket.finish(CLOSE_TIMEOUT / 4);
 }
 
-/// Counts a connection for as long as it is open, also where its coroutine panics.
+/// Counts a connection as open until it is dropped, also if the connection's coroutine panics.
 struct CountedConnection(Arc<Shared>);
 
 impl CountedConnection {
--- a/crates/daemon/src/player_session.rs
+++ b/crates/daemon/src/player_session.rs
@@ -1,6 +1,6 @@
-//! A player's WebSocket connection, from the handshake's response to its close.
-use crate::message::Message;
-use crate::player::{Player, CLOSE_TIMEOUT};
+//! A player's WebSocket connection, from the response to the handshake until it is closed.
+use crate::message::EventLoopMessage;
+use crate::player::{PlayerConnection, CLOSE_TIMEOUT};
 use crate::player_calls::CallReader;
 use crate::shared::Shared;
 use crate::websocket_handshake::AcceptedHandshake;
@@ -16,29 +16,29 @@
 use tungstenite::protocol::{CloseFrame, Role, WebSocketConfig, WebSocketContext};
 use tungstenite::Message as WebSocketMessage;
 
-/// Bytes read at once; each connection has a buffer of this size.
+/// Size of the read buffer that each connection has.
 const READ_BUFFER_BYTES: usize = 1024;
-/// Longest text of a protocol error in a close frame, whose reason has 123 bytes at most.
+/// Longest description of a protocol error in a close frame. WebSocket limits the reason to 123 bytes.
 const MAX_REASON_CHARACTERS: usize = 100;
-/// While the event loop has a backlog, a connection waits this long before it reads on.
+/// Pause between two checks whether the event loop still has a backlog.
 const BACKLOG_PAUSE: Duration = Duration::from_millis(1);
 
-/// Why this side closes a connection.
-struct CloseReason {
+/// The status code and reason of a close frame that this side sends.
+struct CloseStatus {
     code: CloseCode,
-    text: String,
+    reason: String,
 }
 
-impl CloseReason {
-    fn new(code: CloseCode, text: impl Into<String>) -> CloseReason {
-        CloseReason {
+impl CloseStatus {
+    fn new(code: CloseCode, reason: impl Into<String>) -> CloseStatus {
+        CloseStatus {
             code,
-            text: text.into(),
+            reason: reason.into(),
         }
     }
 }
 
-/// Serves a connection after its handshake. `unread`: bytes that were received after the handshake.
+/// Serves a connection after its handshake. `unread` are the bytes that were received after the handshake.
 pub(crate) fn serve(
     shared: &Arc<Shared>,
     socket: &Arc<Socket>,
@@ -46,14 +46,14 @@
     handshake: &AcceptedHandshake,
 ) {
     let limits = shared.limits();
-    socket.set_expiry(Time::MAX); // From now on the idle timeout counts.
-    let player = Arc::new(Player::new(
+    socket.set_expiry(Time::MAX); // From now on only the idle timeout applies.
+    let player = Arc::new(PlayerConnection::new(
         socket.clone(),
         handshake.version,
         limits.unread,
     ));
     shared.register_player(&player);
-    shared.send(Message::PlayerConnected {
+    shared.send(EventLoopMessage::PlayerConnected {
         player: player.clone(),
     });
     let disconnect = DisconnectOnDrop {
@@ -67,66 +67,67 @@
         .max_message_size(Some(limits.message))
         .max_frame_size(Some(limits.message));
     let mut context = WebSocketContext::from_partially_read(unread, Role::Server, Some(config));
-    let close_reason = read_messages(shared, &player, &mut context);
+    let close_status = read_messages(shared, &player, &mut context);
     drop(disconnect);
-    if let Some(CloseReason { code, text }) = close_reason {
-        let reason = text.into();
+    if let Some(CloseStatus { code, reason }) = close_status {
+        let reason = reason.into();
         player.send_frame(Frame::close(Some(CloseFrame { code, reason })));
     }
     player.outbox.flush();
     socket.finish(CLOSE_TIMEOUT);
 }
 
-/// Reads until the connection ends; returns the reason where this side closes it.
+/// Reads and handles messages until the connection ends. Returns the status to close with, or `None` if the player closed
+/// the connection or it failed.
 fn read_messages(
     shared: &Shared,
-    player: &Player,
+    player: &PlayerConnection,
     context: &mut WebSocketContext,
-) -> Option<CloseReason> {
+) -> Option<CloseStatus> {
     let mut stream = PlayerStream { player };
     let mut calls = CallReader::new(shared, player);
     loop {
         match context.read(&mut stream) {
             Ok(WebSocketMessage::Text(text)) => calls.handle_text(&text),
             Ok(WebSocketMessage::Binary(_)) => {
-                let text = "texts are spoken here";
-                return Some(CloseReason::new(CloseCode::Unsupported, text));
+                let reason = "texts are spoken here";
+                return Some(CloseStatus::new(CloseCode::Unsupported, reason));
             }
-            Ok(_) => {} // Pings are answered and closes returned by the context's next read.
-            Err(error) => return close_reason(&error),
+            Ok(_) => {} // The next read of the context answers pings and close frames.
+            Err(error) => return close_status(&error),
         }
         while shared.has_request_backlog() {
-            sleep(BACKLOG_PAUSE); // Back-pressure: nothing more is read from this player.
+            sleep(BACKLOG_PAUSE); // Back-pressure: nothing is read from this player meanwhile.
         }
     }
 }
 
-/// The reason to close with after an error; `None` where the connection is gone.
-fn close_reason(error: &tungstenite::Error) -> Option<CloseReason> {
+/// The status to close with after an error; `None` if the connection has ended.
+fn close_status(error: &tungstenite::Error) -> Option<CloseStatus> {
     match error {
         tungstenite::Error::Capacity(CapacityError::MessageTooLong { max_size, .. }) => {
-            let text = format!("a message has {max_size} bytes at most");
-            Some(CloseReason::new(CloseCode::Size, text))
+            let reason = format!("a message has {max_size} bytes at most");
+            Some(CloseStatus::new(CloseCode::Size, reason))
         }
         tungstenite::Error::Utf8(_) => {
-            Some(CloseReason::new(CloseCode::Invalid, "a text is UTF-8"))
+            Some(CloseStatus::new(CloseCode::Invalid, "a text is UTF-8"))
         }
         tungstenite::Error::Protocol(violation) => {
-            let text: String = violation
+            let reason: String = violation
                 .to_string()
                 .chars()
                 .take(MAX_REASON_CHARACTERS)
                 .collect();
-            Some(CloseReason::new(CloseCode::Protocol, text))
+            Some(CloseStatus::new(CloseCode::Protocol, reason))
         }
         _ => None,
     }
 }
 
-/// The connection as tungstenite reads and writes it: what it writes goes in order with what the event loop
-/// sends.
+/// Adapts the connection to tungstenite. Bytes that tungstenite writes go through the same outbox as those of the event
+/// loop, so that frames are sent in order and never mixed.
 struct PlayerStream<'a> {
-    player: &'a Player,
+    player: &'a PlayerConnection,
 }
 
 impl Read for PlayerStream<'_> {
@@ -159,7 +160,7 @@
     }
 }
 
-/// Notifies the event loop that a player disconnected, also where its coroutine panics.
+/// Notifies the event loop that a player disconnected, also if the player's coroutine panics.
 struct DisconnectOnDrop {
     shared: Arc<Shared>,
     player: PlayerId,
@@ -167,7 +168,7 @@
 
 impl Drop for DisconnectOnDrop {
     fn drop(&mut self) {
-        self.shared.send(Message::PlayerDisconnected {
+        self.shared.send(EventLoopMessage::PlayerDisconnected {
             player: self.player,
         });
     }
--- a/crates/daemon/src/recovered_state.rs
+++ b/crates/daemon/src/recovered_state.rs
@@ -1,4 +1,4 @@
-//! The state that this front starts from: its name at servers, and what its store holds.
+//! Opens the store and returns the state that this front starts from, including its name at servers.
 use crate::errors::StartError;
 use crate::key_file;
 use crankpaddle_config::Store as StoreConfig;
@@ -7,28 +7,26 @@
 use crankpaddle_store::{Error, OpenedStore, QuarantinedFile, Store};
 use std::time::Duration;
 
-/// An opened store, and what it held.
+/// An opened store and the state that was recovered from it.
 pub(crate) struct OpenedState {
     /// The front's name at servers, the same in all its incarnations.
     pub front_name: String,
-    /// `None`: the disk fails, and nothing can be written.
+    /// `None` if the disk fails, so that nothing can be written.
     pub store: Option<Store>,
     pub recovered: RecoveredState,
 }
 
-/// Opens the store.
-///
-/// Why a failing disk is no error: a front that does not start serves no viewer, and one that starts without
-/// its state could set up a paid session a second time. So it starts, requests inventories from servers, and
+/// Opens the store. A failing disk is not an error: a front that did not start would serve no viewer at all. Without its
+/// state, however, the front could set up a paid session a second time, so it requests inventories from servers and
 /// rejects paid set-ups.
 ///
 /// # Errors
-/// The key can't be read, another process has the folder open, or a later release wrote it.
+/// The key can't be read, another process has the store open, or a later release wrote it.
 pub(crate) fn open(config: &StoreConfig) -> Result<OpenedState, StartError> {
     open_with(config, |boot_id| Store::open(&config.dir, boot_id))
 }
 
-/// Like [`open`], with `open_store` in place of [`Store::open`]; its argument identifies the host's boot.
+/// Like [`open`], but opens the store with `open_store`, whose argument identifies the host's boot.
 pub(crate) fn open_with(
     config: &StoreConfig,
     open_store: impl FnOnce(&str) -> Result<OpenedStore, Error>,
@@ -60,7 +58,7 @@
     })
 }
 
-/// The identity of the host's boot. If it can't be read, a random one, so that this start counts as after a
+/// Reads the identity of the host's boot. If that fails, the result is random, so that this start counts as one after a
 /// power loss.
 fn read_boot_id(config: &StoreConfig) -> String {
     match std::fs::read_to_string(&config.boot_file) {
@@ -94,7 +92,7 @@
     );
 }
 
-/// The state where nothing is known of previous incarnations.
+/// The state if nothing is known of previous incarnations.
 fn unknown_state() -> RecoveredState {
     RecoveredState {
         epoch: StillValid(0),
--- a/crates/daemon/src/server_connection_state.rs
+++ b/crates/daemon/src/server_connection_state.rs
@@ -1,9 +1,9 @@
-//! The established sessions at one server, and whether the server can be reached. Pure.
+//! The established sessions at one server, and whether the server can be reached. This module performs no I/O.
 //!
-//! A session is lost when its server does not list it, has another incarnation, or can't be reached. Why all
-//! three: a lost session that goes unnoticed occupies its capacity for ever, and its viewer is never
-//! notified. The cost: a server cut off from this front alone loses sessions here that still stream there;
-//! they are torn down when it is reached again.
+//! A session is lost when its server does not list it, has another incarnation, or can't be reached. All three are
+//! checked because a lost session that goes unnoticed occupies its capacity forever, and its viewer is never
+//! notified. The cost: if a server is only cut off from this front, sessions that still stream there are ended here;
+//! they are torn down when the server can be reached again.
 use crate::backoff::ExponentialBackoff;
 use crankpaddle_front::AttemptId;
 use crankpaddle_time::Time;
@@ -13,6 +13,7 @@
 #[cfg(test)]
 mod tests;
 
+/// Backoff between requests for the event stream of a server.
 const BACKOFF: ExponentialBackoff = ExponentialBackoff {
     initial: Duration::from_millis(50),
     max: Duration::from_secs(1),
@@ -20,14 +21,15 @@
 
 #[derive(Debug)]
 struct EstablishedSession {
-    /// Its name at the server.
+    /// The session's name at the server.
     name: String,
     established_at: Time,
 }
 
-/// What is known of one server: its incarnation, and the sessions that are established there.
+/// The known incarnation of one server, and the sessions that are established there.
 #[derive(Debug, Default)]
 pub(crate) struct ServerConnectionState {
+    /// `None` until the server's event stream or inventory states it.
     incarnation: Option<String>,
     sessions: BTreeMap<AttemptId, EstablishedSession>,
 }
@@ -49,25 +51,25 @@
         self.sessions.contains_key(&attempt)
     }
 
-    /// The server's incarnation, where one is known.
+    /// The server's incarnation; `None` if it is not known yet.
     pub(crate) fn incarnation(&self) -> Option<&str> {
         self.incarnation.as_deref()
     }
 
-    /// The server's inventory gave its incarnation, which counts until its event stream gives one.
+    /// Sets the incarnation that the server's inventory stated, unless one is known already.
     pub(crate) fn incarnation_reported(&mut self, incarnation: &str) {
         self.incarnation
             .get_or_insert_with(|| incarnation.to_owned());
     }
 
-    /// Whether this is another incarnation than the known one.
+    /// Whether this differs from the known incarnation; false if none is known.
     pub(crate) fn is_other_incarnation(&self, incarnation: &str) -> bool {
         self.incarnation().is_some_and(|known| known != incarnation)
     }
 
-    /// The server's event stream began with a list of the sessions that it holds, in response to a request
-    /// sent at `requested_at`. Returns the sessions that are lost. A session that was established after the
-    /// request may be missing from the list and is not lost.
+    /// Handles the start of the server's event stream, which lists the sessions that the server holds. Returns the
+    /// sessions that are lost. A session established after `requested_at`, the time of the request for the stream, may
+    /// be missing from the list and does not count as lost.
     pub(crate) fn stream_started(
         &mut self,
         incarnation: &str,
@@ -82,8 +84,8 @@
         })
     }
 
-    /// The sessions that were established before a request sent at `requested_at`: the lost ones where the
-    /// request showed that the server can't be reached.
+    /// The sessions that were established before `requested_at`. If a request sent at that time showed that the server
+    /// can't be reached, they are the lost ones.
     pub(crate) fn sessions_before(&self, requested_at: Time) -> Vec<AttemptId> {
         self.established_before(requested_at, |_| true)
     }
@@ -91,11 +93,11 @@
     fn established_before(
         &self,
         requested_at: Time,
-        is_wanted: impl Fn(&EstablishedSession) -> bool,
+        is_included: impl Fn(&EstablishedSession) -> bool,
     ) -> Vec<AttemptId> {
         let sessions = self.sessions.iter();
         sessions
-            .filter(|(_, session)| session.established_at < requested_at && is_wanted(session))
+            .filter(|(_, session)| session.established_at < requested_at && is_included(session))
             .map(|(attempt, _)| *attempt)
             .collect()
     }
@@ -104,62 +106,68 @@
 /// How a server's event stream failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamFailure {
-    /// The connection was refused or reset: no process listens there.
+    /// The connection was refused or reset: no process listens on the port.
     Refused,
-    /// No response: the server may be slow or cut off.
+    /// No valid response arrived: the server may be slow or cut off.
     NoResponse,
-    /// The stream began and ended later.
+    /// The stream started and ended later.
     StreamClosed,
 }
 
-/// What is done about a failed event stream.
+/// What to do after an event stream failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct FailureVerdict {
-    /// The server can't be reached, so its sessions are to be ended.
-    pub is_lost: bool,
-    /// The pause before the next request; zero: it is sent at once.
+pub(crate) struct RetryDecision {
+    /// Whether the server counts as unreachable, so that its sessions are ended.
+    pub is_server_lost: bool,
+    /// The pause before the next request; zero if it is sent at once.
     pub backoff: Duration,
 }
 
 /// Tracks whether a server can be reached, over consecutive requests for its event stream.
 #[derive(Debug)]
 pub(crate) struct ReachabilityTracker {
-    last_received: Time,
+    /// When the event stream last started, or when the tracker was created.
+    last_started_at: Time,
     silence_timeout: Duration,
     consecutive_failures: u32,
 }
 
 impl ReachabilityTracker {
-    /// `silence_timeout`: a server that sends nothing for so long is lost.
+    /// Creates a tracker. A server that does not respond is lost once `silence_timeout` has passed since its event
+    /// stream last started.
     pub(crate) fn new(now: Time, silence_timeout: Duration) -> ReachabilityTracker {
         ReachabilityTracker {
-            last_received: now,
+            last_started_at: now,
             silence_timeout,
             consecutive_failures: 0,
         }
     }
 
-    /// The server's event stream began.
+    /// Records that the server's event stream started.
     pub(crate) fn stream_started(&mut self, now: Time) {
-        self.last_received = now;
+        self.last_started_at = now;
         self.consecutive_failures = 0;
     }
 
-    /// The event stream could not be opened, or ended.
-    pub(crate) fn stream_failed(&mut self, now: Time, failure: StreamFailure) -> FailureVerdict {
-        let is_lost = match failure {
+    /// Records that the event stream could not be opened, or ended, and decides how to go on.
+    pub(crate) fn stream_failed(&mut self, now: Time, failure: StreamFailure) -> RetryDecision {
+        let is_server_lost = match failure {
             StreamFailure::Refused => true,
             StreamFailure::NoResponse => {
-                now.duration_since(self.last_received) >= self.silence_timeout
+                now.duration_since(self.last_started_at) >= self.silence_timeout
             }
             StreamFailure::StreamClosed => false,
         };
         let backoff = self.backoff(failure);
         self.consecutive_failures += 1;
-        FailureVerdict { is_lost, backoff }
+        RetryDecision {
+            is_server_lost,
+            backoff,
+        }
     }
 
-    /// After a stream that had begun there is no pause: mostly the connection failed, not the server.
+    /// The pause before the next request. There is none after a stream that had started, because then usually only the
+    /// connection failed, not the server.
     fn backoff(&self, failure: StreamFailure) -> Duration {
         if failure == StreamFailure::StreamClosed && self.consecutive_failures == 0 {
             return Duration::ZERO;
--- a/crates/daemon/src/server_connection_state/tests.rs
+++ b/crates/daemon/src/server_connection_state/tests.rs
@@ -1,4 +1,4 @@
-//! Which sessions are lost, and when a failed event stream is requested again.
+//! Tests for the detection of lost sessions and for the retry of failed event streams.
 use super::*;
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -23,16 +23,19 @@
 }
 
 #[test]
-fn another_incarnation_differs_from_the_first_and_the_same() {
+fn only_a_changed_incarnation_counts_as_another_one() {
     let mut state = ServerConnectionState::default();
-    assert!(!state.is_other_incarnation("one"), "nothing was known");
+    assert!(
+        !state.is_other_incarnation("one"),
+        "no incarnation was known"
+    );
     state.stream_started("one", &[], Time(0));
     assert!(!state.is_other_incarnation("one"));
     assert!(state.is_other_incarnation("two"));
 }
 
 #[test]
-fn another_incarnation_of_a_server_holds_no_sessions_of_the_old_one() {
+fn a_restarted_server_loses_all_sessions_of_its_previous_incarnation() {
     let mut state = state_with_two_sessions();
     assert_eq!(
         state.stream_started("two", &["a".into(), "b".into()], Time(30)),
@@ -57,31 +60,31 @@
     let mut tracker = ReachabilityTracker::new(Time(0), 3 * SECOND);
     assert_eq!(
         tracker.stream_failed(Time(0) + SECOND, StreamFailure::StreamClosed),
-        FailureVerdict {
-            is_lost: false,
+        RetryDecision {
+            is_server_lost: false,
             backoff: Duration::ZERO
         }
     );
     assert!(
         tracker
             .stream_failed(Time(0) + SECOND, StreamFailure::Refused)
-            .is_lost
+            .is_server_lost
     );
     tracker.stream_started(Time(0) + 2 * SECOND);
     assert!(
         !tracker
             .stream_failed(Time(0) + 4 * SECOND, StreamFailure::NoResponse)
-            .is_lost
+            .is_server_lost
     );
     assert!(
         tracker
             .stream_failed(Time(0) + 5 * SECOND, StreamFailure::NoResponse)
-            .is_lost
+            .is_server_lost
     );
 }
 
 #[test]
-fn backoff_grows_to_a_bound() {
+fn backoff_grows_up_to_its_maximum() {
     let mut tracker = ReachabilityTracker::new(Time(0), SECOND);
     let backoffs: Vec<Duration> = (0..40)
         .map(|_| {
--- a/crates/daemon/src/server_link/controls.rs
+++ b/crates/daemon/src/server_link/controls.rs
@@ -1,4 +1,4 @@
-//! Rung changes and teardowns of sessions at one server.
+//! Sends rung changes and teardowns of sessions to one server.
 use crate::message::ServerMessage;
 use crate::shared::Shared;
 use crankpaddle_front::ServerId;
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A control is given up after this time: the server hangs, which its event stream shows.
+/// A control is given up after this time. The server then hangs, which its event stream detects as well.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Backoff after connection attempts that timed out.
+/// The pause after each connection attempt that timed out; the control is given up after the last one.
 const CONNECT_BACKOFF: [Duration; 5] = [
     Duration::from_millis(100),
     Duration::from_millis(200),
@@ -21,16 +21,16 @@
     Duration::from_millis(800),
     Duration::from_millis(1600),
 ];
-/// Largest body of a response.
+/// Largest accepted body of a response.
 const MAX_RESPONSE_BYTES: u64 = 64 * 1024;
 
-/// The server that controls go to.
-pub(super) struct Target {
+/// The server that controls are sent to.
+pub(super) struct ControlTarget {
     pub(super) server: ServerId,
     pub(super) address: SocketAddr,
 }
 
-/// What is changed at a server.
+/// A change of one session at its server.
 pub(super) enum Control {
     SetRung { session_name: String, rung: u8 },
     TearDown { session_name: String },
@@ -47,9 +47,9 @@
     }
 }
 
-/// Sends controls until the link is dropped. One coroutine sends them all, because rung changes of one
-/// session must arrive in their order.
-pub(super) fn send_all(shared: &Shared, target: &Target, queue: &Receiver<Control>) {
+/// Sends queued controls until the link is dropped. One coroutine sends all of them, because the rung changes of a
+/// session must arrive in order.
+pub(super) fn send_all(shared: &Shared, target: &ControlTarget, queue: &Receiver<Control>) {
     let mut idle_connection: Option<Arc<Socket>> = None;
     while let Ok(control) = queue.recv() {
         idle_connection = match idle_connection.take() {
@@ -63,17 +63,21 @@
     }
 }
 
-fn connect_and_send(shared: &Shared, target: &Target, control: &Control) -> Option<Arc<Socket>> {
+fn connect_and_send(
+    shared: &Shared,
+    target: &ControlTarget,
+    control: &Control,
+) -> Option<Arc<Socket>> {
     let socket = Arc::new(connect(shared, &target.address)?);
     shared.server_sweeper.watch(&socket);
     send(shared, socket, target, control)
 }
 
-/// Connects for a control, again after a timeout.
+/// Connects to send a control, and tries again after a timeout.
 ///
-/// Why: a teardown that is dropped because a busy host took too long to connect leaves a session without a
-/// viewer streaming for as long as the server runs. The cost: controls behind it wait longer. A port that refuses has
-/// no sessions left.
+/// If a teardown were dropped because a busy host accepted the connection too late, a session without a viewer would
+/// stream for as long as the server runs. The cost is that controls queued behind it wait longer. A server that
+/// refuses the connection has no sessions left, so that is not retried.
 fn connect(shared: &Shared, address: &SocketAddr) -> Option<Socket> {
     for backoff in CONNECT_BACKOFF {
         match Socket::connect(address, shared.connect_timeout()) {
@@ -89,7 +93,7 @@
 fn send(
     shared: &Shared,
     socket: Arc<Socket>,
-    target: &Target,
+    target: &ControlTarget,
     control: &Control,
 ) -> Option<Arc<Socket>> {
     let request = control.request(&target.address.to_string());
--- a/crates/daemon/src/server_link/mod.rs
+++ b/crates/daemon/src/server_link/mod.rs
@@ -1,13 +1,13 @@
-//! This front's link to one server: the subscription to its event stream, and the queue of controls for its
-//! sessions.
+//! This front's link to one server: the subscription to its event stream, and the queue of rung changes and
+//! teardowns ("controls") for its sessions.
 //!
 //! - `stream`: subscribes to the server's event stream and passes its events to the event loop;
-//! - `controls`: sends rung changes and teardowns, in their order.
+//! - `controls`: sends the queued controls one after the other.
 mod controls;
 mod stream;
 
 use crate::shared::Shared;
-use controls::{Control, Target};
+use controls::{Control, ControlTarget};
 use crankpaddle_front::ServerId;
 use crankpaddle_net::{clock, spawn, CloseReason, Socket, Stack};
 use crankpaddle_time::{AtomicTime, Time};
@@ -17,31 +17,31 @@
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 use std::time::Duration;
 
-/// A server as this front reaches it.
+/// This front's link to one server.
 ///
-/// Invariant of the atomics: while an attempt is at the server, or its reports are wanted, a coroutine
+/// Invariant of the atomics: while an attempt is at the server, or the front needs the server's reports, a coroutine
 /// follows its event stream. The event loop adds an attempt before it subscribes; the coroutine clears
-/// `is_subscribed` before it looks once more whether the link is idle. `Release` publishes each change and
-/// `Acquire` sees it. Known gap: they don't order the coroutine's store before its second look, so an attempt
-/// added in that instant may go without a subscription until the next call of `subscribe`.
+/// `is_subscribed` before it checks a second time whether the link is idle. `Release` publishes each change and
+/// `Acquire` observes it. Known gap: these orderings do not order the coroutine's store before its second check, so an
+/// attempt that is added between the two may have no subscription until the next call of `subscribe`.
 pub(crate) struct ServerLink {
     pub id: ServerId,
     pub address: SocketAddr,
-    /// Attempts and sessions at the server.
+    /// Number of attempts and sessions at the server.
     attempts: AtomicUsize,
-    /// Since when there are none.
+    /// Since when there are no attempts and sessions. Meaningful only while there are none.
     idle_since: AtomicTime,
-    /// The server's reports are wanted though no session is there.
-    is_wanted: AtomicBool,
-    /// A coroutine follows the event stream.
+    /// Whether the front needs the server's reports even without a session there.
+    needs_reports: AtomicBool,
+    /// Whether a coroutine follows the event stream.
     is_subscribed: AtomicBool,
-    /// The connection of the event stream. Locked only to copy or replace it, never over a wait.
+    /// The connection of the event stream. It is locked only to copy or replace it, never across a wait.
     stream: Mutex<Weak<Socket>>,
     controls: mpsc::Sender<Control>,
 }
 
 impl ServerLink {
-    /// A link without a subscription, whose controls are sent from now on.
+    /// Creates a link and starts the coroutine that sends its controls. The link has no subscription yet.
     pub(crate) fn start(
         shared: &Arc<Shared>,
         id: ServerId,
@@ -49,7 +49,7 @@
     ) -> Arc<ServerLink> {
         let (controls, queue) = mpsc::channel();
         let shared = shared.clone();
-        let target = Target {
+        let target = ControlTarget {
             server: id,
             address,
         };
@@ -61,30 +61,34 @@
             address,
             attempts: AtomicUsize::new(0),
             idle_since: AtomicTime::new(clock::now()),
-            is_wanted: AtomicBool::new(false),
+            needs_reports: AtomicBool::new(false),
             is_subscribed: AtomicBool::new(false),
             stream: Mutex::new(Weak::new()),
             controls,
         })
     }
 
-    /// An attempt is at the server from now on, so its events are followed.
+    /// Counts an attempt that is at the server from now on, and subscribes to the server's events.
     pub(crate) fn attempt_added(self: &Arc<ServerLink>, shared: &Arc<Shared>) {
         self.attempts.fetch_add(1, Ordering::AcqRel);
         self.subscribe(shared);
     }
 
-    /// An attempt or session at the server is over.
+    /// Removes an attempt or session that is over from the count.
     pub(crate) fn attempt_released(&self, now: Time) {
         if self.attempts.fetch_sub(1, Ordering::AcqRel) == 1 {
             self.idle_since.store(now, Ordering::Release);
         }
     }
 
-    /// Whether the server's reports are wanted though no session is there.
-    pub(crate) fn want_reports(self: &Arc<ServerLink>, shared: &Arc<Shared>, is_wanted: bool) {
-        self.is_wanted.store(is_wanted, Ordering::Release);
-        if is_wanted {
+    /// Sets whether the front needs the server's reports even without a session there.
+    pub(crate) fn set_needs_reports(
+        self: &Arc<ServerLink>,
+        shared: &Arc<Shared>,
+        needs_reports: bool,
+    ) {
+        self.needs_reports.store(needs_reports, Ordering::Release);
+        if needs_reports {
             self.subscribe(shared);
         }
     }
@@ -112,7 +116,7 @@
 
     fn queue(&self, shared: &Shared, control: Control) {
         shared.control_queued();
-        let _ = self.controls.send(control); // The queue's coroutine ends with this sender only.
+        let _ = self.controls.send(control); // Never fails: the receiving coroutine lives as long as this sender.
     }
 
     /// Closes the event stream if the link has been idle for longer than `idle_timeout`.
@@ -127,7 +131,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.attempts.load(Ordering::Acquire) == 0 && !self.is_wanted.load(Ordering::Acquire)
+        self.attempts.load(Ordering::Acquire) == 0 && !self.needs_reports.load(Ordering::Acquire)
     }
 
     fn stream_socket(&self) -> Option<Arc<Socket>> {
@@ -141,7 +145,7 @@
         *self.stream.lock().unwrap_or_else(PoisonError::into_inner) = Arc::downgrade(socket);
     }
 
-    /// Starts a coroutine that follows the server's events, unless one does.
+    /// Starts a coroutine that follows the server's event stream, unless one is running.
     fn subscribe(self: &Arc<ServerLink>, shared: &Arc<Shared>) {
         if !self.is_subscribed.swap(true, Ordering::AcqRel) {
             let link = self.clone();
@@ -150,14 +154,14 @@
         }
     }
 
-    /// Ends the subscription if the link is idle; true if the calling coroutine shall end.
+    /// Ends the subscription if the link is idle. Returns whether the calling coroutine must end.
     fn unsubscribe_if_idle(&self) -> bool {
         if !self.is_idle() {
             return false;
         }
         self.is_subscribed.store(false, Ordering::Release);
-        // An attempt may have been added between the two looks; then either its subscription or this
-        // coroutine goes on.
+        // An attempt may have been added between the two checks. Then either a new coroutine was started for it, or
+        // this one continues.
         self.is_idle() || self.is_subscribed.swap(true, Ordering::AcqRel)
     }
 }
--- a/crates/daemon/src/server_link/stream.rs
+++ b/crates/daemon/src/server_link/stream.rs
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 
 impl ServerLink {
-    /// Follows the server's event stream, reopens it when it ends, and passes its events to the event loop,
-    /// until the link is idle.
+    /// Passes the events of the server's event stream to the event loop, and reopens the stream when it ends, until
+    /// the link is idle.
     pub(super) fn follow_stream(&self, shared: &Shared) {
         let mut reachability = ReachabilityTracker::new(clock::now(), shared.limits().silence);
         loop {
@@ -22,15 +22,15 @@
                 Ok(events) => self.read_events(shared, events, requested_at, &mut reachability),
                 Err(failure) => failure,
             };
-            let verdict = reachability.stream_failed(clock::now(), failure);
-            if verdict.is_lost {
+            let decision = reachability.stream_failed(clock::now(), failure);
+            if decision.is_server_lost {
                 shared.send_from_server(self.id, ServerMessage::Unreachable { requested_at });
             }
             if self.unsubscribe_if_idle() {
                 return;
             }
-            if !verdict.backoff.is_zero() {
-                sleep(verdict.backoff);
+            if !decision.backoff.is_zero() {
+                sleep(decision.backoff);
             }
         }
     }
@@ -80,12 +80,13 @@
                     has_started = true;
                 }
                 Ok(Some(event)) => self.pass_event(shared, event),
-                Ok(None) => {} // A kind that a later release of the server sends.
+                Ok(None) => {} // An unknown kind of event, which a later release of the server may send.
                 Err(error) => self.log_malformed(&error.to_string()),
             }
         }
     }
 
+    /// Passes an event other than the start of the stream to the event loop.
     fn pass_event(&self, shared: &Shared, event: ServerEvent) {
         let message = match event {
             ServerEvent::StreamStart(_) => return, // Handled by the caller.
@@ -119,7 +120,7 @@
         if !has_started {
             return StreamFailure::NoResponse;
         }
-        // A connection that this front closed, or that expired, shows nothing of the server.
+        // If this front closed the connection, or it expired, its end says nothing about the server.
         let socket = self.stream_socket();
         if socket.is_some_and(|socket| !socket.is_closed()) {
             shared.send_from_server(self.id, ServerMessage::StreamClosed);
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,14 +1,14 @@
 //! State that the coroutines of a front share: configuration, connections, counters and the event loop's
 //! queue.
 //!
-//! The counters for `GET /health` and for back-pressure are independent figures: no other memory is published
-//! through them, so `Relaxed` is enough. Only the count of queued controls orders anything; see
+//! The counters for `GET /health` and for back-pressure are independent of each other, and no other memory is
+//! published through them, so `Relaxed` is enough. Only the counter of pending controls needs an ordering; see
 //! [`Shared::control_completed`].
 use crate::connection_pool::ConnectionPool;
 use crate::membership_runner::MembershipHandle;
-use crate::message::{Message, ServerMessage};
+use crate::message::{EventLoopMessage, ServerMessage};
 use crate::names::AttemptNames;
-use crate::player::Player;
+use crate::player::PlayerConnection;
 use crankpaddle_config::{Config, Limits};
 use crankpaddle_front::ServerId;
 use crankpaddle_net::IdleSweeper;
@@ -17,24 +17,25 @@
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 use std::time::Duration;
 
-/// Connections to servers are swept this often: their deadlines are tenths of seconds.
+/// Time between two sweeps of connections to servers, whose deadlines are tenths of seconds.
 const SERVER_SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Connections of players are swept this often: their deadlines are seconds, and there are many.
+/// Time between two sweeps of players' connections. It is longer because their deadlines are seconds and there are
+/// many connections.
 const PLAYER_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A front's work in progress at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Requests without an answer.
+pub struct WorkInProgress {
+    /// Number of requests that have no answer yet.
     pub waiting: usize,
-    /// Established sessions.
+    /// Number of established sessions.
     pub playing: usize,
 }
 
 /// State that the coroutines of a front share.
 pub(crate) struct Shared {
     pub config: Config,
-    /// The other fronts, where any are configured.
+    /// `None` if the configuration has no peers.
     pub membership: Option<MembershipHandle>,
     pub names: AttemptNames,
     pub pool: ConnectionPool,
@@ -42,24 +43,28 @@
     pub server_sweeper: IdleSweeper,
     /// Closes expired connections of players.
     pub player_sweeper: IdleSweeper,
-    players: Mutex<Vec<Weak<Player>>>,
+    /// Connected players; entries of dropped ones are removed by [`Shared::visit_players`].
+    players: Mutex<Vec<Weak<PlayerConnection>>>,
+    /// Accepted connections that are open, WebSocket or not.
     connections: AtomicUsize,
+    /// Requests of players in the event loop's queue.
     queued_requests: AtomicUsize,
     waiting: AtomicUsize,
     playing: AtomicUsize,
     is_draining: AtomicBool,
+    /// Rung changes and teardowns that were not sent or given up yet.
     pending_controls: AtomicUsize,
-    inbox: mpsc::Sender<Message>,
+    inbox: mpsc::Sender<EventLoopMessage>,
 }
 
 impl Shared {
-    /// The shared state, and the queue that the event loop reads. `front_name`: where none is given, one is
-    /// drawn.
+    /// Creates the shared state, and the queue that the event loop reads. If `front_name` is `None`, the front gets a
+    /// random name.
     pub(crate) fn new(
         config: Config,
         membership: Option<MembershipHandle>,
         front_name: Option<String>,
-    ) -> (Arc<Shared>, mpsc::Receiver<Message>) {
+    ) -> (Arc<Shared>, mpsc::Receiver<EventLoopMessage>) {
         let (inbox, receiver) = mpsc::channel();
         let shared = Shared {
             membership,
@@ -80,70 +85,70 @@
         (Arc::new(shared), receiver)
     }
 
-    /// Queues a message for the event loop. After the loop's end it is dropped.
-    pub(crate) fn send(&self, message: Message) {
-        if matches!(message, Message::PlayerRequest { .. }) {
+    /// Queues a message for the event loop; after the loop has ended, the message is dropped.
+    pub(crate) fn send(&self, message: EventLoopMessage) {
+        if matches!(message, EventLoopMessage::PlayerRequest { .. }) {
             self.queued_requests.fetch_add(1, Ordering::Relaxed);
         }
         let _ = self.inbox.send(message);
     }
 
-    /// Queues what a server sent.
+    /// Queues a message about a server for the event loop.
     pub(crate) fn send_from_server(&self, server: ServerId, message: ServerMessage) {
-        self.send(Message::Server { server, message });
+        self.send(EventLoopMessage::Server { server, message });
     }
 
-    /// The event loop took a [`Message::PlayerRequest`] from the queue.
+    /// Counts that the event loop took a [`EventLoopMessage::PlayerRequest`] from the queue.
     pub(crate) fn request_dequeued(&self) {
         self.queued_requests.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Whether the event loop's queue holds too many requests of players.
+    /// Whether the event loop's queue holds more than twice as many requests of players as the front may have pending.
     pub(crate) fn has_request_backlog(&self) -> bool {
-        let most = self.config.terms.max_pending.saturating_mul(2);
-        self.queued_requests.load(Ordering::Relaxed) > most
+        let max_queued = self.config.terms.max_pending.saturating_mul(2);
+        self.queued_requests.load(Ordering::Relaxed) > max_queued
     }
 
-    /// The limits of the configuration.
+    /// The configured limits and timeouts.
     pub(crate) fn limits(&self) -> &Limits {
         &self.config.limits
     }
 
-    /// How long a connection to a server may take.
+    /// Longest time to connect to a server or to the list service.
     pub(crate) fn connect_timeout(&self) -> Duration {
         self.config.limits.connect
     }
 
-    /// A connection was accepted.
+    /// Counts an accepted connection.
     pub(crate) fn connection_opened(&self) {
         self.connections.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// An accepted connection was closed.
+    /// Counts the close of an accepted connection.
     pub(crate) fn connection_closed(&self) {
         self.connections.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Accepted connections that are open.
+    /// Number of accepted connections that are open.
     pub(crate) fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Publishes the core's counts.
-    pub(crate) fn publish_counts(&self, counts: Counts) {
-        self.waiting.store(counts.waiting, Ordering::Relaxed);
-        self.playing.store(counts.playing, Ordering::Relaxed);
+    /// Publishes the core's work in progress to other coroutines.
+    pub(crate) fn publish_work_in_progress(&self, work: WorkInProgress) {
+        self.waiting.store(work.waiting, Ordering::Relaxed);
+        self.playing.store(work.playing, Ordering::Relaxed);
     }
 
-    /// The counts as last published.
-    pub(crate) fn counts(&self) -> Counts {
-        Counts {
+    /// The work in progress as last published.
+    pub(crate) fn work_in_progress(&self) -> WorkInProgress {
+        WorkInProgress {
             waiting: self.waiting.load(Ordering::Relaxed),
             playing: self.playing.load(Ordering::Relaxed),
         }
     }
 
-    /// The front is draining from now on; this is never taken back.
+    /// Marks the front as draining; this can't be undone.
     pub(crate) fn start_draining(&self) {
         self.is_draining.store(true, Ordering::Relaxed);
     }
@@ -153,35 +158,35 @@
         self.is_draining.load(Ordering::Relaxed)
     }
 
-    /// A rung change or teardown was queued for a server.
+    /// Counts a rung change or teardown that was queued for a server.
     pub(crate) fn control_queued(&self) {
         self.pending_controls.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// A queued rung change or teardown was sent or given up.
+    /// Counts a queued rung change or teardown as sent or given up.
     ///
-    /// Why not `Relaxed`: the event loop stops when it reads zero in [`Shared::has_pending_controls`], so
-    /// whatever the control did must have happened before that.
+    /// This is not `Relaxed`, because the event loop stops when it reads zero in [`Shared::has_pending_controls`]: all
+    /// effects of the control must be visible before that.
     pub(crate) fn control_completed(&self) {
         self.pending_controls.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Whether rung changes or teardowns have not been sent yet.
+    /// Whether any rung change or teardown is still queued or being sent.
     pub(crate) fn has_pending_controls(&self) -> bool {
         self.pending_controls.load(Ordering::Acquire) > 0
     }
 
-    /// Adds a player to those of [`Shared::visit_players`], until it is dropped.
-    pub(crate) fn register_player(&self, player: &Arc<Player>) {
+    /// Adds a player to those that [`Shared::visit_players`] visits, until the player is dropped.
+    pub(crate) fn register_player(&self, player: &Arc<PlayerConnection>) {
         self.players
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(Arc::downgrade(player));
     }
 
-    /// Visits each connected player and removes those that are gone. `visit` must not wait: it runs under a
-    /// lock.
-    pub(crate) fn visit_players(&self, mut visit: impl FnMut(&Player)) {
+    /// Calls `visit` for each connected player and removes dropped ones. `visit` must not wait, because it runs under
+    /// a lock.
+    pub(crate) fn visit_players(&self, mut visit: impl FnMut(&PlayerConnection)) {
         self.players
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Cross-zone traffic of this front: the controller, its configuration, and the saved account.
+//! Accounting of this front's cross-zone traffic: the traffic controller, its configuration, and the saved report.
 use crate::errors::{SavedFileError, StartError};
 use crankpaddle::Idempotency;
 use crankpaddle_config::Config;
@@ -14,18 +14,23 @@
 use std::time::Duration;
 use std::{fs, io};
 
-/// Sessions settled in one step. Why a bound: the event loop handles no message during a step.
+/// Most sessions settled in one step. It is bounded because the event loop handles no message during a step.
 const SESSIONS_PER_STEP: usize = 512;
-/// Bytes in a kilobyte, the unit of rates in the account.
+/// Bytes in a kilobyte, the unit of rates in the traffic controller.
 const BYTES_PER_KB: f64 = 1000.0;
 
-/// A front's traffic controller, and the names of the zones, classes, tenants and title groups that it knows by number.
+/// A front's traffic controller, and the names of the zones, classes, tenants and title groups, which the controller
+/// knows by number.
 pub(crate) struct TrafficAccounting {
     pub controller: TrafficController,
     names: TrafficNames,
+    /// This front's index in the fleet.
     front: u32,
+    /// The number of this front's zone.
     zone: u8,
+    /// The number of each title's group, by the title's number.
     groups_by_title: BTreeMap<u64, u16>,
+    /// Whether the usage of sessions is being settled, in steps.
     is_settling: bool,
 }
 
@@ -57,8 +62,8 @@
     }
 }
 
-/// Changed settings that require a restart: the budgets of the new configuration can't be applied to a
-/// running front with them.
+/// The settings that differ between two configurations and must not change while the front runs, because the budgets
+/// depend on them; `None` if there are none.
 pub(crate) fn changed_settings(old: &Config, new: &Config) -> Option<&'static str> {
     let before = traffic_config(old);
     let after = traffic_config(new);
@@ -69,7 +74,7 @@
     if (before.position, before.zone) != (after.position, after.zone) {
         return Some("front.index, front.siblings and front.zone");
     }
-    // A zone added at the end leaves the numbers of the others as they are.
+    // Adding zones at the end is allowed, because the numbers of the others stay.
     if !new.zones.starts_with(&old.zones) {
         return Some("fleet.zone");
     }
@@ -79,12 +84,12 @@
     None
 }
 
-/// The account that a previous incarnation of this front saved, if there is one.
+/// Loads the traffic report that a previous incarnation of this front saved, if there is one.
 ///
 /// # Errors
-/// The file can't be read or holds something else. It is not ignored, because the account would start at zero
-/// unnoticed.
-pub(crate) fn load_saved_account(config: &Config) -> Result<Option<TrafficReport>, StartError> {
+/// The file can't be read, is malformed, or belongs to another front. That is not ignored, because the counted bytes
+/// would restart at zero unnoticed.
+pub(crate) fn load_saved_report(config: &Config) -> Result<Option<TrafficReport>, StartError> {
     let Some(path) = &config.traffic_file else {
         return Ok(None);
     };
@@ -92,16 +97,16 @@
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         text => text.map_err(SavedFileError::from),
     };
-    let report = text.and_then(|text| parse_account(&text, config.settings.front_index));
+    let report = text.and_then(|text| parse_report(&text, config.settings.front_index));
     report.map(Some).map_err(|source| StartError::SavedFile {
         path: path.clone(),
         source,
     })
 }
 
-fn parse_account(text: &str, own_front: u32) -> Result<TrafficReport, SavedFileError> {
+fn parse_report(text: &str, own_index: u32) -> Result<TrafficReport, SavedFileError> {
     let report: TrafficReport = serde_json::from_str(text)?;
-    if report.front != own_front {
+    if report.front != own_index {
         return Err(SavedFileError::OtherFront {
             front: report.front,
         });
@@ -110,7 +115,7 @@
 }
 
 impl TrafficAccounting {
-    /// The accounting of a configured front, restored from the saved account where there is one.
+    /// Creates the accounting of a configured front, restored from the saved report if there is one.
     pub(crate) fn new(config: &Config, saved: Option<&TrafficReport>) -> TrafficAccounting {
         let mut controller = TrafficController::new(traffic_config(config));
         let names = traffic_names(config);
@@ -128,14 +133,14 @@
         }
     }
 
-    /// The name of a server's zone; empty where the server is not listed.
+    /// The name of a server's zone; empty if the server is not listed.
     pub(crate) fn zone_name(&self, server: ServerId) -> &str {
         let zone = self.controller.zone(server.0);
         let name = zone.and_then(|zone| self.names.zones.get(usize::from(zone)));
         name.map_or("", String::as_str)
     }
 
-    /// An attempt starts; `number`: its number within its request.
+    /// Starts to account for an attempt; `number` is its number within its request.
     pub(crate) fn attempt_started(
         &mut self,
         attempt: AttemptId,
@@ -155,7 +160,8 @@
         });
     }
 
-    /// A server reports the bytes of this front's attempts, and the rates that it sends to other zones.
+    /// Adds a server's report: the bytes that it sent for this front's attempts, and the rates at which it sends to other
+    /// zones.
     pub(crate) fn add_counts(
         &mut self,
         server: ServerId,
@@ -170,7 +176,7 @@
         self.controller.usage_reported(server.0, rates, now);
     }
 
-    /// Kilobytes a second to this front's zone, by class.
+    /// The rates to this front's zone, in kilobytes a second by class number.
     fn rates_to_own_zone(&self, crossing: &[CrossZoneRate]) -> BTreeMap<u8, f64> {
         let own_zone = self.names.zones.get(usize::from(self.zone));
         let mut rates: BTreeMap<u8, f64> = BTreeMap::new();
@@ -186,18 +192,18 @@
         rates
     }
 
-    /// Applies other budgets and added zones; counted bytes stay.
+    /// Applies changed budgets and added zones; the bytes counted so far stay.
     pub(crate) fn change_budgets(&mut self, config: &Config) {
         self.controller.reconfigure(traffic_config(config));
         self.names.zones.clone_from(&config.zones);
     }
 
-    /// Starts to settle the usage of all sessions, in steps.
+    /// Starts to settle the usage of all sessions; [`TrafficAccounting::settle_step`] does the work.
     pub(crate) fn start_settlement(&mut self) {
         self.is_settling = true;
     }
 
-    /// Settles the next sessions; returns whether sessions are left.
+    /// Settles the usage of the next sessions; returns whether any are left.
     pub(crate) fn settle_step(&mut self) -> bool {
         if self.is_settling {
             let now = clock::now();
@@ -206,7 +212,7 @@
         self.is_settling
     }
 
-    /// The report as JSON.
+    /// The traffic report as JSON.
     pub(crate) fn report(&mut self) -> String {
         let report = TrafficReport::of(
             &mut self.controller,
--- a/crates/daemon/src/websocket_handshake.rs
+++ b/crates/daemon/src/websocket_handshake.rs
@@ -1,15 +1,15 @@
-//! The opening handshake of WebSocket (RFC 6455, section 4.2), and the choice of the session API's version.
+//! The WebSocket opening handshake (RFC 6455, section 4.2), and the negotiation of the session API's version.
 use crate::http_responses::CLOSE;
 use crankpaddle_http::head::{self, Request};
 use crankpaddle_http::problem::Problem;
 use crankpaddle_session_api::Version;
 use tungstenite::handshake;
 
-/// The one version of the WebSocket protocol there is.
+/// The only version of the WebSocket protocol that is supported, that of RFC 6455.
 const WEBSOCKET_VERSION: &str = "13";
-/// Characters of 16 bytes in base64, the padding included.
+/// Length of 16 bytes in base64, including the padding.
 const KEY_LENGTH: usize = 24;
-/// The padding of 16 bytes in base64.
+/// The base64 padding of 16 bytes.
 const KEY_PADDING: &str = "==";
 
 /// An accepted handshake.
@@ -19,16 +19,16 @@
     pub response: Vec<u8>,
 }
 
-/// Whether a request asks for an upgrade to WebSocket.
+/// Whether a request is for an upgrade to WebSocket.
 pub(crate) fn is_upgrade(request: &Request) -> bool {
     request.fields.has_token("upgrade", "websocket")
         && request.fields.has_token("connection", "upgrade")
 }
 
-/// Accepts a handshake.
+/// Accepts a handshake if it is valid. A player that offers no subprotocol gets the first version of the session API.
 ///
 /// # Errors
-/// The bytes of the response that rejects it.
+/// The bytes of the response that rejects the handshake.
 pub(crate) fn accept(request: &Request) -> Result<AcceptedHandshake, Vec<u8>> {
     if request.path().0 != "/session" {
         return Err(rejection(404, "WebSocket is spoken at /session"));
@@ -57,7 +57,7 @@
     })
 }
 
-/// The handshake's key; `None` where it is malformed or given more than once.
+/// The handshake's key; `None` if it is missing, malformed or given more than once.
 fn handshake_key(request: &Request) -> Option<&str> {
     let mut keys = request.fields.all("sec-websocket-key");
     let key = keys.next()?;
@@ -68,7 +68,10 @@
     (is_single && is_valid).then_some(key)
 }
 
-/// The version that is chosen from the offered subprotocols; `None` where none is offered.
+/// The version negotiated from the offered subprotocols; `None` if none is offered.
+///
+/// # Errors
+/// The bytes of the response that rejects the handshake, if subprotocols are offered but none of them is served.
 fn subprotocol(request: &Request) -> Result<Option<Version>, Vec<u8>> {
     let offers = request.fields.all("sec-websocket-protocol");
     let chosen = Version::negotiate(offers.flat_map(|field| field.split(',')));
@@ -81,7 +84,7 @@
     Ok(chosen)
 }
 
-/// The response to a rejected handshake; 426 gives the version that is served.
+/// The response that rejects a handshake. Status 426 also states the supported version of WebSocket.
 fn rejection(status: u16, detail: &str) -> Vec<u8> {
     let mut fields = vec![CLOSE];
     if status == 426 {
--- a/crates/daemon/tests/described/failures.rs
+++ b/crates/daemon/tests/described/failures.rs
@@ -18,7 +18,7 @@
     let second = RecordedPlayer::connect(address, version, transcript);
     take_over_in_progress(&harness, &mut player, second);
     wait_until("the one who left to time out", || {
-        harness.daemon.counts().waiting == 0
+        harness.daemon.work_in_progress().waiting == 0
     });
     let withdrawn = player.open("withdrawn-1", PAID, "clip-02");
     assert_eq!(reason(&withdrawn), "withdrawn");
--- a/crates/daemon/tests/edges/calls.rs
+++ b/crates/daemon/tests/edges/calls.rs
@@ -1,6 +1,6 @@
 //! Malformed calls, and batches of calls.
 use crate::support::{wait_until, Harness, IDLE, PAID};
-use crankpaddle_daemon::Counts;
+use crankpaddle_daemon::WorkInProgress;
 use crankpaddle_session_api::client::{self, ClientEvent};
 use tungstenite::Message;
 
@@ -82,7 +82,7 @@
     assert_eq!(ids, (0..1000).collect::<Vec<u64>>());
     drop(player);
     wait_until("all to end", || {
-        harness.daemon.counts() == IDLE && harness.fleet.streams() == 0
+        harness.daemon.work_in_progress() == IDLE && harness.fleet.streams() == 0
     });
     assert_eq!(harness.verdict().breaches, []);
 }
@@ -106,8 +106,8 @@
     });
     // Its server is lost while the batch still waits for the other answer.
     wait_until("the front to know", || {
-        harness.daemon.counts()
-            == Counts {
+        harness.daemon.work_in_progress()
+            == WorkInProgress {
                 waiting: 1,
                 playing: 1,
             }
@@ -117,7 +117,7 @@
     }
     // The other may have timed out by then, on a slow machine; the order is the same.
     wait_until("the front to see it", || {
-        harness.daemon.counts().playing == 0
+        harness.daemon.work_in_progress().playing == 0
     });
     let Message::Text(first) = player.socket.read().unwrap() else {
         panic!()
--- a/crates/daemon/tests/set_ups.rs
+++ b/crates/daemon/tests/set_ups.rs
@@ -1,6 +1,6 @@
 //! Servers that misbehave during a set-up, and players that disconnect during one.
 mod support;
-use crankpaddle_daemon::Counts;
+use crankpaddle_daemon::WorkInProgress;
 use crankpaddle_session_api::client::ClientEvent;
 use crankpaddle_testbed::record::{Reply, Seen};
 use std::time::{Duration, Instant};
@@ -60,7 +60,7 @@
     wait_until("the server to drop it", || harness.fleet.streams() == 0);
     assert_eq!(
         (
-            harness.daemon.counts(),
+            harness.daemon.work_in_progress(),
             harness.set_ups_and_bills("late-paid").0
         ),
         (IDLE, 1)
@@ -127,11 +127,11 @@
     );
     assert_eq!(harness.set_ups_and_bills("reconnects"), (1, 1));
     assert!(second.is_silent(Duration::from_millis(200)));
-    let one_session = Counts {
+    let one_session = WorkInProgress {
         waiting: 0,
         playing: 1,
     };
-    assert_eq!(harness.daemon.counts(), one_session);
+    assert_eq!(harness.daemon.work_in_progress(), one_session);
 }
 
 #[test]
@@ -148,7 +148,7 @@
         drop(player);
         harness.set_modes(|mode| mode.hangs = false);
         wait_until("the session to end", || {
-            harness.daemon.counts() == IDLE && harness.fleet.streams() == 0
+            harness.daemon.work_in_progress() == IDLE && harness.fleet.streams() == 0
         });
         assert_eq!(harness.set_ups_and_bills(&key).0, 1);
     }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -5,7 +5,7 @@
 mod player;
 
 pub(crate) use backend::{fleet_text, front_text, start_fleet, start_list_service, Backend};
-use crankpaddle_daemon::Counts;
+use crankpaddle_daemon::WorkInProgress;
 pub(crate) use harness::Harness;
 pub(crate) use player::Player;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The counts of a front without any work.
-pub(crate) const IDLE: Counts = Counts {
+pub(crate) const IDLE: WorkInProgress = WorkInProgress {
     waiting: 0,
     playing: 0,
 };
--- a/crates/daemon/tests/traffic.rs
+++ b/crates/daemon/tests/traffic.rs
@@ -102,7 +102,7 @@
             .change(entry(&harness.config, id, address, EndpointState::Gone, 0));
     }
     wait_until("the sessions to be over", || {
-        harness.daemon.counts() == IDLE
+        harness.daemon.work_in_progress() == IDLE
     });
     wait_until("the front to see that its zone is lost", || {
         open_sessions(
@@ -142,7 +142,8 @@
     fetch_some(&media);
     player.close_session(&session);
     wait_until("all to be settled", || {
-        harness.daemon.counts() == IDLE && report(harness.daemon.address()).unsettled_sessions == 0
+        harness.daemon.work_in_progress() == IDLE
+            && report(harness.daemon.address()).unsettled_sessions == 0
     });
     let logged = crossed(&harness.recorder.all(), &harness.config);
     let reported = report(harness.daemon.address());
@@ -200,6 +201,6 @@
     second.wait();
     std::fs::write(&path, "{\"front\":").unwrap();
     let error = start().map(|_| ()).unwrap_err().to_string();
-    assert!(error.contains("no account of traffic"), "{error}");
+    assert!(error.contains("not a valid traffic report"), "{error}");
     std::fs::remove_file(&path).unwrap();
 }
