--- a/crates/daemon/tests/described/altered_descriptions.rs
+++ b/crates/daemon/tests/described/altered_descriptions.rs
@@ -1,8 +1,9 @@
-//! Descriptions that differ from what is exchanged: the check finds each difference and names it.
+//! Alters the published description in several ways, and checks that the conformance check finds each deviation and names
+//! it.
 use crankpaddle_api::conform::{ConformanceChecker, Exception, Exchange};
 use serde_json::{json, Value};
 
-/// A change of the description: what it is, the change, and what the verdict must name.
+/// An alteration of the description: its explanation, the change itself, and a text that the verdict must contain.
 type Alteration = (&'static str, fn(&mut Value), &'static str);
 
 const ALTERATIONS: [Alteration; 10] = [
@@ -19,7 +20,7 @@
         "\"media\"",
     ),
     (
-        "a reason stands in the code only",
+        "a reason is missing in the description",
         |document| {
             drop(
                 document["components"]["schemas"]["FailedReason"]["oneOf"]
@@ -31,7 +32,7 @@
         "\"no_answer\"",
     ),
     (
-        "a reason stands in the description only",
+        "a reason is in the description only",
         |document| {
             document["components"]["schemas"]["EndReason"]["oneOf"]
                 .as_array_mut()
@@ -41,7 +42,7 @@
         "end.params.reason = \"bored\"",
     ),
     (
-        "a property that is never sent",
+        "a property that is never sent is added",
         |document| {
             document["components"]["schemas"]["Ended"]["properties"]["mood"] =
                 json!({"type": "string"});
@@ -49,7 +50,7 @@
         "end.params.mood",
     ),
     (
-        "another type",
+        "a property has another type",
         |document| {
             document["components"]["schemas"]["RungChanged"]["properties"]["rung"] =
                 json!({"type": "string"});
@@ -57,7 +58,7 @@
         "session.rung",
     ),
     (
-        "a narrower bound",
+        "a property has a lower maximum length",
         |document| {
             document["components"]["schemas"]["Opened"]["properties"]["session"]["maxLength"] =
                 json!(1);
@@ -65,7 +66,7 @@
         "\"session\":\"s-",
     ),
     (
-        "an optional property must be there",
+        "an optional property is required",
         |document| {
             document["components"]["schemas"]["Refused"]["required"]
                 .as_array_mut()
@@ -75,7 +76,7 @@
         "\"refused\"",
     ),
     (
-        "another code",
+        "an error has another code",
         |document| {
             document["components"]["messages"]["superseded"]["payload"]["properties"]["error"]
                 ["properties"]["code"] = json!({"const": -32_099});
@@ -93,7 +94,7 @@
         "-32700",
     ),
     (
-        "another method",
+        "a method has another name",
         |document| {
             document["components"]["messages"]["resume"]["payload"]["properties"]["method"] =
                 json!({"const": "session.again"});
@@ -102,8 +103,9 @@
     ),
 ];
 
+/// Checks each alteration against exchanges that conform to the unaltered description.
 pub(crate) fn check_each(exchanges: &[Exchange], exceptions: &[Exception]) {
-    for (what, alter, name) in ALTERATIONS {
+    for (explanation, alter, expected_text) in ALTERATIONS {
         let mut document = crankpaddle_api::parsed(crankpaddle_api::PRESENT);
         alter(&mut document);
         let mut checker =
@@ -113,8 +115,8 @@
         }
         let verdict = checker.report(exceptions);
         assert!(
-            !verdict.agrees() && verdict.to_string().contains(name),
-            "{what}: {verdict}"
+            !verdict.agrees() && verdict.to_string().contains(expected_text),
+            "{explanation}: {verdict}"
         );
     }
 }
--- a/crates/daemon/tests/described/failures.rs
+++ b/crates/daemon/tests/described/failures.rs
@@ -1,10 +1,10 @@
-//! Servers that fail paid set-ups in each way, and players that leave or connect twice.
+//! Scenario: servers fail paid set-ups in each way, and players disconnect during a set-up or open the same session twice.
 use crate::start_harness;
 use crate::support::{wait_until, Harness, PAID};
 use crate::transcript::{open_params, reason, RecordedPlayer, Transcript};
 use crankpaddle_session_api::Version;
 
-pub(crate) fn play(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: Version, transcript: &Transcript) {
     let harness = start_harness(&[(
         "open_requests_per_connection: 64",
         "open_requests_per_connection: 2",
@@ -13,11 +13,11 @@
     let mut player = RecordedPlayer::connect(address, version, transcript);
     fail_at_servers(&harness, &mut player);
     harness.set_modes(|mode| (mode.bills_and_resets, mode.hangs) = (0.0, true));
-    let leaver = RecordedPlayer::connect(address, version, transcript);
-    leave_in_progress(&harness, leaver);
+    let leaving = RecordedPlayer::connect(address, version, transcript);
+    disconnect_during_set_up(&harness, leaving);
     let second = RecordedPlayer::connect(address, version, transcript);
-    take_over_in_progress(&harness, &mut player, second);
-    wait_until("the one who left to time out", || {
+    take_over_during_set_up(&harness, &mut player, second);
+    wait_until("the request of the disconnected player to end", || {
         harness.daemon.work_in_progress().waiting == 0
     });
     let withdrawn = player.open("withdrawn-1", PAID, "clip-02");
@@ -34,12 +34,14 @@
     assert_eq!(reason(&reset), "broken");
 }
 
-fn leave_in_progress(harness: &Harness, mut leaver: RecordedPlayer) {
-    leaver.send_call("session.open", open_params("withdrawn-1", PAID, "clip-02"));
+/// Opens a session and drops the player when the attempt has arrived at a server.
+fn disconnect_during_set_up(harness: &Harness, mut leaving: RecordedPlayer) {
+    leaving.send_call("session.open", open_params("withdrawn-1", PAID, "clip-02"));
     wait_for_attempt(harness, "withdrawn-1");
 }
 
-fn take_over_in_progress(
+/// Opens a session with two players, of which the second supersedes the first.
+fn take_over_during_set_up(
     harness: &Harness,
     first: &mut RecordedPlayer,
     mut second: RecordedPlayer,
@@ -64,7 +66,7 @@
 }
 
 fn wait_for_attempt(harness: &Harness, key: &str) {
-    wait_until("its attempt to be out", || {
+    wait_until("its attempt to arrive at a server", || {
         harness.set_ups_and_bills(key).0 == 1
     });
 }
--- a/crates/daemon/tests/described/http.rs
+++ b/crates/daemon/tests/described/http.rs
@@ -1,4 +1,4 @@
-//! HTTP requests, the fleet's members, and how a front stops.
+//! Scenario: HTTP requests, the fleet's members, the limit of connections, and the shutdown of a front.
 use crate::start_harness;
 use crate::support::{wait_until, Harness, FREE, PAID};
 use crate::transcript::{open_params, reason, RecordedPlayer, Transcript};
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-pub(crate) fn play(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: Version, transcript: &Transcript) {
     let key = write_key(version);
     report_no_members(&key, transcript);
     let seed = start_member();
@@ -27,14 +27,14 @@
     send_requests(transcript, address);
     wait_for_connections_to_end(transcript, address);
     drop(harness);
-    // Why a front of its own: a connection counts until the front has seen its end, so requests in a row would
-    // meet a limit of three.
+    // The limit of three connections needs a front of its own. A connection counts until the front has noticed its end,
+    // so the requests above would exceed the limit.
     let limited = start_harness(&[("connections: 8000", "connections: 3"), ("log {", &peers)]);
     wait_for_connections_to_end(transcript, limited.daemon.address());
     fill_connections_and_stop(version, &limited, transcript);
 }
 
-/// Waits until the request for this is the only connection.
+/// Waits until the connection that requests the count is the only open one.
 fn wait_for_connections_to_end(transcript: &Transcript, address: SocketAddr) {
     transcript.get_until("connections to end", address, "/health", |status, body| {
         status == 200 && body.contains("\"connections\":1")
@@ -57,7 +57,7 @@
     assert_eq!(transcript.get(alone.daemon.address(), "/members"), 200);
 }
 
-/// A member of the fleet that the test plays for as long as it runs; returns its address.
+/// Starts a simulated member of the fleet, which runs until the test process ends; returns its address.
 fn start_member() -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket
@@ -91,7 +91,7 @@
         membership.expire(now(), &mut outputs);
         for output in outputs {
             if let Output::Send { address, bytes, .. } = output {
-                let _ = socket.send_to(&bytes, address); // The protocol repeats what is lost.
+                let _ = socket.send_to(&bytes, address); // The protocol tolerates lost datagrams.
             }
         }
     }
@@ -160,14 +160,16 @@
     let others = [connect(), connect()];
     assert_eq!(transcript.get(address, "/session"), 503);
     drop(others);
-    // One request is kept waiting, so that the front stays to announce that it stops.
+    // One request is kept pending, so that the front is still draining while the player is notified of the shutdown.
     harness.set_modes(|mode| mode.hangs = true);
     player.send_call("session.open", open_params("kept-waiting", PAID, "clip-01"));
-    wait_until("its attempt to be out", || {
+    wait_until("its attempt to arrive at a server", || {
         harness.set_ups_and_bills("kept-waiting").0 == 1
     });
     harness.daemon.drain();
-    wait_until("it to drain", || transcript.get(address, "/health") == 503);
+    wait_until("the front to drain", || {
+        transcript.get(address, "/health") == 503
+    });
     let rejected = player.open("too-late-now", FREE, "clip-02");
     assert_eq!(reason(&rejected), "stopping");
     let ended = player.notification("session.end");
--- a/crates/daemon/tests/described/main.rs
+++ b/crates/daemon/tests/described/main.rs
@@ -1,10 +1,11 @@
-//! Everything that is described is exchanged over sockets, by both versions, and compared with the published files: what no
-//! description allows fails, and so does what is described and was not exchanged.
+//! Conformance tests for the published descriptions of the API. Scenarios exchange everything that is described, over
+//! sockets and in both versions. The test fails if a message does not match the descriptions, and also if something
+//! described was never exchanged.
 //!
-//! - `transcript`: what went over the sockets, and players that record it;
-//! - `sessions`, `failures`, `budgets`, `previous_incarnations`, `http`: the parts of a run;
-//! - `altered_descriptions`: the check itself finds what does not agree;
-//! - `versions`: which version a handshake chooses.
+//! - `transcript`: the record of what was exchanged, and players that add to it;
+//! - `sessions`, `failures`, `budgets`, `previous_incarnations`, `http`: the scenarios of a run;
+//! - `altered_descriptions`: checks that the conformance check finds deviations;
+//! - `versions`: negotiation of the API version in the handshake.
 mod altered_descriptions;
 mod budgets;
 mod failures;
@@ -21,12 +22,12 @@
 use support::{Backend, Harness};
 use transcript::Transcript;
 
-/// A front with a tenant, so that calls must name it; titles are in groups.
+/// Starts a front with a tenant, so that calls must name one, and with a title that is in a group.
 fn start_harness(changes: &[(&str, &str)]) -> Harness {
     start_harness_on(changes, |_| {})
 }
 
-/// The same, with something done before the front starts.
+/// Like [`start_harness`], but calls `prepare` before the front starts.
 fn start_harness_on(changes: &[(&str, &str)], prepare: impl FnOnce(&Backend)) -> Harness {
     let tenant = ("log {", "tenant { name: \"main\" quota: 100000 }\nlog {");
     let group = (
@@ -37,7 +38,7 @@
     Harness::start_on(backend, "main", prepare)
 }
 
-/// The published description of a version.
+/// The published description of a version of the session API.
 fn published(version: Version) -> &'static str {
     match version {
         Version::V1 => crankpaddle_api::PREVIOUS,
@@ -45,22 +46,22 @@
     }
 }
 
-/// Exchanges all that is described, its parts at the same time.
-fn run(version: Version) -> Transcript {
+/// Runs all scenarios with one version, concurrently. Together they exchange everything that is described.
+fn run_scenarios(version: Version) -> Transcript {
     let transcript = Transcript::default();
-    let parts = [
-        sessions::play,
-        failures::play,
-        budgets::play,
-        previous_incarnations::play,
-        http::play,
+    let scenarios = [
+        sessions::run,
+        failures::run,
+        budgets::run,
+        previous_incarnations::run,
+        http::run,
     ];
-    let threads = parts.map(|part| {
+    let threads = scenarios.map(|scenario| {
         let transcript = transcript.clone();
-        std::thread::spawn(move || part(version, &transcript))
+        std::thread::spawn(move || scenario(version, &transcript))
     });
     for thread in threads {
-        thread.join().expect("a part of the run");
+        thread.join().expect("a scenario failed");
     }
     transcript
 }
@@ -78,19 +79,20 @@
 }
 
 #[test]
-fn traffic_and_published_descriptions_agree_in_both_directions() {
+fn exchanged_messages_and_published_descriptions_agree_in_both_directions() {
     let exceptions: Vec<Exception> = serde_json::from_str(crankpaddle_api::EXCEPTIONS).unwrap();
     let versions = [Version::V2, Version::V1];
-    let runs = versions.map(|version| (version, std::thread::spawn(move || run(version))));
+    let runs =
+        versions.map(|version| (version, std::thread::spawn(move || run_scenarios(version))));
     for (version, run) in runs {
-        let exchanges = run.join().expect("a run").exchanges();
+        let exchanges = run.join().expect("a run failed").exchanges();
         let verdict = check(version, &exchanges).report(&exceptions);
         println!("{version:?}: {verdict}");
         assert!(verdict.agrees(), "{version:?}:\n{verdict}");
         if version == Version::V2 {
             altered_descriptions::check_each(&exchanges, &exceptions);
         }
-        // The check can fail: without one of its messages the run no longer shows all.
+        // Checks that the check itself can fail: it must, if one of the described messages is missing.
         let is_kept = |exchange: &&Exchange| !matches!(exchange, Exchange::Text { text, .. } if text.contains("key_spent"));
         let incomplete = check(version, exchanges.iter().filter(is_kept));
         assert!(!incomplete.report(&exceptions).agrees());
--- a/crates/daemon/tests/described/previous_incarnations.rs
+++ b/crates/daemon/tests/described/previous_incarnations.rs
@@ -1,4 +1,4 @@
-//! What a front reports of its previous incarnation, for each way in which that can end.
+//! Scenario: a front reports how its previous incarnation ended, for each way in which it can end.
 use crate::support::{Backend, Harness};
 use crate::transcript::Transcript;
 use crate::{start_harness, start_harness_on};
@@ -7,13 +7,15 @@
 use std::path::PathBuf;
 use tempfile::TempDir;
 
-/// A server that can't be reached in some parts.
-const UNREACHABLE: u32 = 4;
+/// The server that is made unreachable in some steps of the scenario.
+const UNREACHABLE_SERVER: u32 = 4;
 
-/// Stores of one run, by name. A copy of a running front's folder stands for what a killed process leaves.
+/// The stores of one run, by name. A copy of a running front's store stands for the state that a killed process leaves.
 struct Stores {
     dir: TempDir,
+    /// The file with the key.
     key: PathBuf,
+    /// The file with the identity of the host's boot.
     boot: PathBuf,
     version: Version,
 }
@@ -32,13 +34,13 @@
         stores
     }
 
-    /// Another boot of the host than before stands for a power loss.
+    /// Sets the identity of the host's boot. A changed identity stands for a power loss.
     fn set_boot(&self, boot: &str) {
         std::fs::write(&self.boot, boot).unwrap();
     }
 
-    /// The configuration of a front with the store of this name.
-    fn config(&self, name: &str) -> String {
+    /// The `store` block of a front's configuration, for the store of this name.
+    fn config_block(&self, name: &str) -> String {
         let Stores {
             key, boot, version, ..
         } = self;
@@ -58,7 +60,7 @@
     }
 }
 
-pub(crate) fn play(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: Version, transcript: &Transcript) {
     let stores = Stores::new(version);
     start_first_and_stop(&stores, transcript);
     report_clean_and_killed(&stores, transcript);
@@ -69,11 +71,11 @@
     report_unusable_store(&stores, transcript);
 }
 
-/// The first front on a store; copies of it while the front runs, then a clean shutdown.
+/// Runs the first front on a store, copies the store while the front runs, and shuts the front down.
 fn start_first_and_stop(stores: &Stores, transcript: &Transcript) {
     let first = start_harness(&[
         ("cold: \"8s\"", "cold: \"300ms\""),
-        ("log {", &stores.config("a")),
+        ("log {", &stores.config_block("a")),
     ]);
     wait_for_status(
         transcript,
@@ -87,21 +89,21 @@
 }
 
 fn report_clean_and_killed(stores: &Stores, transcript: &Transcript) {
-    let clean = start_harness(&[("log {", &stores.config("a"))]);
+    let clean = start_harness(&[("log {", &stores.config_block("a"))]);
     wait_for_status(transcript, &clean, &["\"ended_in_order\""]);
-    let killed = start_harness(&[("log {", &stores.config("killed"))]);
+    let killed = start_harness(&[("log {", &stores.config_block("killed"))]);
     wait_for_status(transcript, &killed, &["\"killed\"", "\"servers_told\""]);
 }
 
-/// After a power loss, with long timeouts and a server that can't be reached: the stages one by one.
+/// Recovers after a power loss, with long timeouts and an unreachable server, so that each stage can be observed.
 fn report_each_stage(stores: &Stores, transcript: &Transcript) {
-    let slow = stores.config("lost");
-    let slow = slow.replace("\"500ms\"", "\"1s\"");
-    let slow = slow.replace("\"1ms\"", "\"1s\"");
-    let backend = Backend::new(&[("log {", &slow)]);
+    let block = stores.config_block("lost");
+    let block = block.replace("\"500ms\"", "\"1s\"");
+    let block = block.replace("\"1ms\"", "\"1s\"");
+    let backend = Backend::new(&[("log {", &block)]);
     backend
         .fleet
-        .set_mode(UNREACHABLE, |mode| mode.vanished = true);
+        .set_mode(UNREACHABLE_SERVER, |mode| mode.vanished = true);
     let daemon = backend.start_front();
     for stage in ["settling", "paid"] {
         let words = format!("\"stage\":\"{stage}\",\"steps\"");
@@ -109,25 +111,25 @@
     }
     backend
         .fleet
-        .set_mode(UNREACHABLE, |mode| mode.vanished = false);
+        .set_mode(UNREACHABLE_SERVER, |mode| mode.vanished = false);
     daemon.drain();
     daemon.wait();
 }
 
 fn report_timeout(stores: &Stores, transcript: &Transcript) {
-    let late = start_harness_on(&[("log {", &stores.config("late"))], |backend| {
+    let late = start_harness_on(&[("log {", &stores.config_block("late"))], |backend| {
         backend
             .fleet
-            .set_mode(UNREACHABLE, |mode| mode.vanished = true);
+            .set_mode(UNREACHABLE_SERVER, |mode| mode.vanished = true);
     });
     wait_for_status(transcript, &late, &["\"power_lost\"", "\"time\""]);
     late.set_modes(|mode| mode.vanished = false);
 }
 
-/// No folder can be made below a file.
+/// Starts a front whose store can't be created, because its folder would be below a file.
 fn report_unusable_store(stores: &Stores, transcript: &Transcript) {
     std::fs::write(stores.dir.path().join("file"), "").unwrap();
-    let unusable = start_harness(&[("log {", &stores.config("file/below"))]);
+    let unusable = start_harness(&[("log {", &stores.config_block("file/below"))]);
     wait_for_status(transcript, &unusable, &["\"unusable\""]);
 }
 
@@ -135,7 +137,7 @@
     wait_for_status_at(transcript, harness.daemon.address(), words);
 }
 
-/// Waits until `GET /fleet` holds all words.
+/// Waits until the reply to `GET /fleet` contains all words.
 fn wait_for_status_at(transcript: &Transcript, address: SocketAddr, words: &[&str]) {
     transcript.get_until(&format!("{words:?}"), address, "/fleet", |status, body| {
         assert_eq!(status, 200);
--- a/crates/daemon/tests/described/sessions.rs
+++ b/crates/daemon/tests/described/sessions.rs
@@ -1,18 +1,18 @@
-//! Sessions that are opened, resumed, changed and ended, and calls that are wrong.
+//! Scenario: sessions are opened, resumed, changed and ended, and malformed calls are answered with errors.
 use crate::start_harness;
 use crate::support::{wait_until, Harness, FREE, PAID};
 use crate::transcript::{open_params, reason, RecordedPlayer, Transcript};
 use crankpaddle_session_api::Version;
 use serde_json::{json, Value};
 
-pub(crate) fn play(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: Version, transcript: &Transcript) {
     let harness = start_harness(&[]);
     let address = harness.daemon.address();
     let mut player = RecordedPlayer::connect(address, version, transcript);
     let mut other = RecordedPlayer::connect(address, version, transcript);
     open_resume_and_close(version, &mut player, &mut other);
-    send_wrong_calls(&mut player);
-    name_unknown(&mut player);
+    send_malformed_calls(&mut player);
+    send_unknown_names(&mut player);
     open_batch(&mut player);
     spend_key(&mut player);
     change_rungs(&harness, &mut player);
@@ -47,7 +47,7 @@
     assert_eq!(closed_again["error"]["code"], -32004);
 }
 
-fn send_wrong_calls(player: &mut RecordedPlayer) {
+fn send_malformed_calls(player: &mut RecordedPlayer) {
     player.send("{");
     player.receive_until("a parse error", |value| value["error"]["code"] == -32700);
     player.send("[]");
@@ -60,7 +60,7 @@
     assert_eq!(incomplete["error"]["code"], -32602);
 }
 
-fn name_unknown(player: &mut RecordedPlayer) {
+fn send_unknown_names(player: &mut RecordedPlayer) {
     for (field, params) in [
         ("title", open_params("unknown-names", FREE, "none")),
         ("class", open_params("unknown-names", "none", "clip-01")),
@@ -81,7 +81,7 @@
     player.receive_until("the batch", Value::is_array);
 }
 
-/// A paid session that is over: its key is spent.
+/// Opens and closes a paid session; after that its key can't be used again.
 fn spend_key(player: &mut RecordedPlayer) {
     let opened = player.open("spent-key-1", PAID, "clip-03");
     let session = opened["result"]["session"].clone();
@@ -90,7 +90,7 @@
     assert_eq!(reason(&answer), "key_spent");
 }
 
-/// Links deliver less: rungs go down.
+/// Reduces the bandwidth of all links, so that rungs are lowered.
 fn change_rungs(harness: &Harness, player: &mut RecordedPlayer) {
     for number in 0..6 {
         player.open(&format!("crowded-{number}"), FREE, "clip-05");
@@ -100,7 +100,7 @@
     harness.fleet.set_slow(1.0);
 }
 
-/// Sessions that end at their servers, or with them.
+/// Ends sessions at their servers, then crashes the servers.
 fn end_at_servers(harness: &Harness, player: &mut RecordedPlayer) {
     for id in 0..12 {
         harness.fleet.end_sessions(id, true);
--- a/crates/daemon/tests/described/transcript.rs
+++ b/crates/daemon/tests/described/transcript.rs
@@ -1,4 +1,4 @@
-//! What went over the sockets of one version's players, and players that record it.
+//! The record of what a run with one API version exchanged, and players that add to it.
 use crate::support::{wait_until, TEST_TIMEOUT};
 use crankpaddle_api::conform::Exchange;
 use crankpaddle_session_api::Version;
@@ -9,7 +9,7 @@
 use tungstenite::client::IntoClientRequest;
 use tungstenite::{Message, WebSocket};
 
-/// All that went over the sockets of one version's players.
+/// All messages and HTTP exchanges of a run with one version. Clones share the same record.
 #[derive(Clone, Default)]
 pub(crate) struct Transcript(Arc<Mutex<Vec<Exchange>>>);
 
@@ -22,7 +22,7 @@
         self.0.lock().unwrap().push(exchange);
     }
 
-    /// Sends a request as it is, and reads its answer.
+    /// Sends the text of an HTTP request and records the exchange; returns the status of the response.
     pub(crate) fn http(&self, address: SocketAddr, request: &str) -> u16 {
         let (status, exchange) = exchange_http(address, request);
         self.add(exchange);
@@ -33,18 +33,18 @@
         self.http(address, &get_request(path))
     }
 
-    /// Fetches a resource again and again until its status and its body are as wanted.
+    /// Polls a resource until its status and body meet a condition, which `awaited` describes; records each exchange.
     pub(crate) fn get_until(
         &self,
-        what: &str,
+        awaited: &str,
         address: SocketAddr,
         path: &str,
-        is_wanted: impl Fn(u16, &str) -> bool,
+        is_met: impl Fn(u16, &str) -> bool,
     ) {
-        wait_until(what, || {
+        wait_until(awaited, || {
             let (status, exchange) = exchange_http(address, &get_request(path));
             self.add(exchange.clone());
-            matches!(exchange, Exchange::Http { body, .. } if is_wanted(status, &body))
+            matches!(exchange, Exchange::Http { body, .. } if is_met(status, &body))
         });
     }
 }
@@ -57,27 +57,30 @@
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    let (head, body) = answer.split_once("\r\n\r\n").expect("an answer");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    let (head, body) = response
+        .split_once("\r\n\r\n")
+        .expect("the end of the response header");
     let status: u16 = head.split(' ').nth(1).unwrap().parse().unwrap();
     let mut fields = head.lines();
-    let media = fields.find_map(|field| field.strip_prefix("content-type: "));
+    let media_type = fields.find_map(|field| field.strip_prefix("content-type: "));
     let mut words = request.split(' ');
     let exchange = Exchange::Http {
         method: words.next().unwrap_or("").to_owned(),
         path: words.next().unwrap_or("").to_owned(),
         status,
-        media: media.unwrap_or("").to_owned(),
+        media: media_type.unwrap_or("").to_owned(),
         body: body.to_owned(),
     };
     (status, exchange)
 }
 
-/// A player whose texts are recorded.
+/// A player whose messages are recorded in both directions.
 pub(crate) struct RecordedPlayer {
     socket: WebSocket<TcpStream>,
     transcript: Transcript,
+    /// Number of calls so far, which is the id of the last one.
     pub(crate) calls: u64,
 }
 
@@ -96,12 +99,12 @@
         request
             .headers_mut()
             .insert("sec-websocket-protocol", subprotocol.parse().unwrap());
-        let (socket, answer) = tungstenite::client::client(request, stream).unwrap();
-        assert_eq!(answer.headers()["sec-websocket-protocol"], subprotocol);
+        let (socket, response) = tungstenite::client::client(request, stream).unwrap();
+        assert_eq!(response.headers()["sec-websocket-protocol"], subprotocol);
         transcript.add(Exchange::Http {
             method: "GET".into(),
             path: "/session".into(),
-            status: answer.status().as_u16(),
+            status: response.status().as_u16(),
             media: String::new(),
             body: String::new(),
         });
@@ -120,15 +123,17 @@
         self.socket.send(Message::text(text)).unwrap();
     }
 
-    /// Reads until a message is what is waited for.
+    /// Reads and records messages until one meets a condition, which `awaited` describes; returns that message.
     pub(crate) fn receive_until(
         &mut self,
-        what: &str,
-        is_wanted: impl Fn(&Value) -> bool,
+        awaited: &str,
+        is_met: impl Fn(&Value) -> bool,
     ) -> Value {
         loop {
             let message = self.socket.read();
-            let Message::Text(text) = message.unwrap_or_else(|e| panic!("{what}: {e}")) else {
+            let Message::Text(text) =
+                message.unwrap_or_else(|error| panic!("waiting for {awaited}: {error}"))
+            else {
                 continue;
             };
             self.transcript.add(Exchange::Text {
@@ -136,7 +141,7 @@
                 text: text.to_string(),
             });
             let value: Value = serde_json::from_str(&text).unwrap();
-            if is_wanted(&value) {
+            if is_met(&value) {
                 return value;
             }
         }
@@ -171,7 +176,7 @@
     json!({"key": key, "class": class, "title": title, "tenant": "main"})
 }
 
-/// The reason of an answer with an error.
+/// The reason that an error answer states; empty if it states none.
 pub(crate) fn reason(answer: &Value) -> &str {
     answer["error"]["data"]["reason"].as_str().unwrap_or("")
 }
--- a/crates/daemon/tests/described/versions.rs
+++ b/crates/daemon/tests/described/versions.rs
@@ -1,9 +1,9 @@
-//! Which version a handshake chooses.
+//! Tests for the negotiation of the API version in the handshake.
 use crate::support::Harness;
 use std::io::{Read, Write};
 
 #[test]
-fn versions_are_negotiated_by_name_in_the_clients_order() {
+fn the_first_known_version_that_the_client_offers_is_chosen() {
     let harness = Harness::new(&[]);
     for (offered, chosen) in [
         (
@@ -28,16 +28,16 @@
         stream.write_all(head.as_bytes()).unwrap();
         let mut buffer = [0u8; 1024];
         let count = stream.read(&mut buffer).unwrap();
-        let answer = String::from_utf8_lossy(&buffer[..count]).into_owned();
+        let response = String::from_utf8_lossy(&buffer[..count]).into_owned();
         match chosen {
             Some(chosen) => {
                 assert!(
-                    answer.starts_with("HTTP/1.1 101 ")
-                        && answer.contains(&format!("sec-websocket-protocol: {chosen}\r\n")),
-                    "{answer}"
+                    response.starts_with("HTTP/1.1 101 ")
+                        && response.contains(&format!("sec-websocket-protocol: {chosen}\r\n")),
+                    "{response}"
                 );
             }
-            None => assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}"),
+            None => assert!(response.starts_with("HTTP/1.1 400 "), "{response}"),
         }
     }
 }
--- a/crates/daemon/tests/edges/calls.rs
+++ b/crates/daemon/tests/edges/calls.rs
@@ -1,4 +1,4 @@
-//! Malformed calls, and batches of calls.
+//! Tests for malformed calls and for batches of calls.
 use crate::support::{wait_until, Harness, IDLE, PAID};
 use crankpaddle_daemon::WorkInProgress;
 use crankpaddle_session_api::client::{self, ClientEvent};
@@ -36,7 +36,7 @@
             "{text}"
         );
     }
-    // Notifications are never answered, whatever is wrong with them, and set nothing up.
+    // Notifications are never answered, even if they are malformed, and set nothing up.
     player.send(r#"{"jsonrpc":"2.0","method":"session.fly"}"#);
     player.send(r#"{"jsonrpc":"2.0","method":"session.open","params":{"key":"unanswered","title":"clip-01","class":"preview"}}"#);
     player.send(
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_batch_of_a_thousand_requests_gets_a_thousand_answers_in_one() {
+fn a_batch_of_a_thousand_requests_gets_a_thousand_answers_in_one_message() {
     let harness = Harness::new(&[
         ("message: \"64KiB\"", "message: \"1MiB\""),
         ("unread: \"64KiB\"", "unread: \"4MiB\""),
@@ -81,16 +81,16 @@
     ids.sort_unstable();
     assert_eq!(ids, (0..1000).collect::<Vec<u64>>());
     drop(player);
-    wait_until("all to end", || {
+    wait_until("all sessions to end", || {
         harness.daemon.work_in_progress() == IDLE && harness.fleet.streams() == 0
     });
     assert_eq!(harness.verdict().breaches, []);
 }
 
 #[test]
-fn a_notification_never_overtakes_the_batch_that_answers_its_session() {
+fn a_notification_is_never_sent_before_the_batch_that_announces_its_session() {
     let harness = Harness::new(&[]);
-    // clip-05 lies in cells 1 to 3 and is established at once; clip-18, in cells 6 to 8, is requested in vain.
+    // clip-05 is in cells 1 to 3 and is established at once; clip-18 is in cells 6 to 8, whose servers never answer.
     for id in 6..9 {
         harness.fleet.set_mode(id, |mode| mode.hangs = true);
     }
@@ -101,29 +101,32 @@
         )
     };
     player.send(format!("[{},{}]", open(1, "clip-05"), open(2, "clip-18")));
-    wait_until("the first to be set up", || {
+    wait_until("the first session to be set up", || {
         harness.fleet.streams() > 0 && harness.set_ups_and_bills("ordered-1").1 == 1
     });
-    // Its server is lost while the batch still waits for the other answer.
-    wait_until("the front to know", || {
-        harness.daemon.work_in_progress()
-            == WorkInProgress {
-                waiting: 1,
-                playing: 1,
-            }
-    });
+    // The session's server is lost while the batch still waits for the other answer.
+    wait_until(
+        "the front to count the session and the pending request",
+        || {
+            harness.daemon.work_in_progress()
+                == WorkInProgress {
+                    waiting: 1,
+                    playing: 1,
+                }
+        },
+    );
     for id in 1..4 {
         harness.fleet.crash(id);
     }
-    // The other may have timed out by then, on a slow machine; the order is the same.
-    wait_until("the front to see it", || {
+    // On a slow machine the other request may have timed out by then; that does not change the order.
+    wait_until("the front to notice that the server is lost", || {
         harness.daemon.work_in_progress().playing == 0
     });
     let Message::Text(first) = player.socket.read().unwrap() else {
         panic!()
     };
     let answers = client::read(&first).unwrap();
-    assert_eq!(answers.len(), 2, "the batch comes first: {first}");
+    assert_eq!(answers.len(), 2, "the batch must be sent first: {first}");
     let session = answers.iter().find_map(|event| match event {
         ClientEvent::Plays { id: 1, session, .. } => Some(session.clone()),
         _ => None,
--- a/crates/daemon/tests/edges/frames.rs
+++ b/crates/daemon/tests/edges/frames.rs
@@ -1,26 +1,26 @@
-//! Malformed and unusual WebSocket frames.
+//! Tests for malformed and unusual WebSocket frames.
 use crate::support::{Harness, FREE};
 use crankpaddle_session_api::client::ClientEvent;
 use std::io::Write;
 use tungstenite::protocol::frame::coding::CloseCode;
 use tungstenite::Message;
 
-/// The code that the front closes a WebSocket with after these bytes.
-fn closed_with(harness: &Harness, bytes: &[u8]) -> CloseCode {
+/// The code with which the front closes a WebSocket after it received these bytes.
+fn close_code_after(harness: &Harness, bytes: &[u8]) -> CloseCode {
     let mut player = harness.connect_player();
     player.socket.get_mut().write_all(bytes).unwrap();
     loop {
         match player.socket.read() {
             Ok(Message::Close(Some(frame))) => return frame.code,
             Ok(_) => {}
-            Err(e) => panic!("no close frame: {e}"),
+            Err(error) => panic!("no close frame: {error}"),
         }
     }
 }
 
-/// A client's frame, masked with zeros.
-fn frame(first: u8, payload: &[u8]) -> Vec<u8> {
-    let mut bytes = vec![first];
+/// A client's frame, masked with zeros. `first_byte` holds the FIN bit, the reserved bits and the opcode.
+fn frame(first_byte: u8, payload: &[u8]) -> Vec<u8> {
+    let mut bytes = vec![first_byte];
     match payload.len() {
         length @ 0..126 => bytes.push(0x80 | length as u8),
         length @ 126..65536 => {
@@ -34,38 +34,38 @@
 }
 
 #[test]
-fn malformed_frames_close_the_connection_with_their_code_and_affect_no_other() {
+fn malformed_frames_close_their_connection_with_the_right_code_and_affect_no_other() {
     let harness = Harness::new(&[]);
     let mut other = harness.connect_player();
-    for (what, bytes, code) in [
+    for (description, bytes, code) in [
         ("unmasked", vec![0x81, 2, b'{', b'}'], CloseCode::Protocol),
         ("reserved bits", frame(0xf1, b"{}"), CloseCode::Protocol),
         ("reserved opcode", frame(0x83, b"{}"), CloseCode::Protocol),
         (
-            "a continuation of nothing",
+            "a continuation without a first frame",
             frame(0x80, b"{}"),
             CloseCode::Protocol,
         ),
         ("a fragmented ping", frame(0x09, b""), CloseCode::Protocol),
         (
-            "a ping that is too long",
+            "a ping with more than 125 bytes",
             frame(0x89, &[0; 126]),
             CloseCode::Protocol,
         ),
         (
-            "a text that is no UTF-8",
+            "a text that is not UTF-8",
             frame(0x81, &[0xff, 0xfe]),
             CloseCode::Invalid,
         ),
         ("binary", frame(0x82, b"{}"), CloseCode::Unsupported),
-        ("oversize", frame(0x81, &[b' '; 70_000]), CloseCode::Size),
+        ("oversized", frame(0x81, &[b' '; 70_000]), CloseCode::Size),
         (
-            "oversize in pieces",
+            "oversized in two fragments",
             [frame(0x01, &[b' '; 60_000]), frame(0x80, &[b' '; 60_000])].concat(),
             CloseCode::Size,
         ),
     ] {
-        assert_eq!(closed_with(&harness, &bytes), code, "{what}");
+        assert_eq!(close_code_after(&harness, &bytes), code, "{description}");
     }
     let (_, event) = other.open_and_wait("unharmed-by-it", FREE);
     assert!(matches!(event, ClientEvent::Plays { .. }), "{event:?}");
@@ -83,7 +83,7 @@
         frame(0x80, second),
     ]
     .concat();
-    // A byte at a time: no read gets a complete frame.
+    // Sent byte by byte, so that no read gets a complete frame.
     for byte in mixed {
         player.socket.get_mut().write_all(&[byte]).unwrap();
     }
@@ -102,13 +102,13 @@
 #[test]
 fn a_connection_lost_within_a_frame_affects_no_other() {
     let harness = Harness::new(&[]);
-    let mut sound = harness.connect_player();
+    let mut other = harness.connect_player();
     let broken: Vec<_> = (0..20).map(|_| harness.connect_player()).collect();
     for player in &broken {
         let mut stream = player.socket.get_ref();
-        stream.write_all(&[0x81, 0xfe, 0x10]).unwrap(); // The head of a frame, incomplete.
+        stream.write_all(&[0x81, 0xfe, 0x10]).unwrap(); // An incomplete frame header.
     }
     drop(broken);
-    let (_, event) = sound.open_and_wait("unharmed", FREE);
+    let (_, event) = other.open_and_wait("unharmed", FREE);
     assert!(matches!(event, ClientEvent::Plays { .. }), "{event:?}");
 }
--- a/crates/daemon/tests/edges/http.rs
+++ b/crates/daemon/tests/edges/http.rs
@@ -1,24 +1,24 @@
-//! HTTP requests, well-formed and malformed, and handshakes that are rejected.
+//! Tests for well-formed and malformed HTTP requests, and for rejected WebSocket handshakes.
 use crate::support::Harness;
 use std::io::{Read, Write};
 
-/// The fields that ask for an upgrade.
+/// The header fields that request an upgrade to WebSocket.
 const UPGRADE: &str = "upgrade: websocket\r\nconnection: upgrade\r\n";
-/// The key of the example in RFC 6455, 1.3.
+/// The key of the example in RFC 6455, section 1.3.
 const KEY: &str = "sec-websocket-key: dGhlIHNhbXBsZSBub25jZQ==\r\n";
 
-/// A request, and what its response must hold.
-struct Case {
+/// A request, the status of its response, and a text that the response must contain.
+struct HttpCase {
     request: String,
     status: &'static str,
-    expected: &'static str,
+    expected_text: &'static str,
 }
 
-fn case(request: impl Into<String>, status: &'static str, expected: &'static str) -> Case {
-    Case {
+fn case(request: impl Into<String>, status: &'static str, expected_text: &'static str) -> HttpCase {
+    HttpCase {
         request: request.into(),
         status,
-        expected,
+        expected_text,
     }
 }
 
@@ -30,24 +30,24 @@
     format!("GET {path} HTTP/1.1\r\nhost: a\r\n{UPGRADE}{fields}\r\n")
 }
 
-fn check(harness: &Harness, cases: &[Case]) {
-    for Case {
+fn check(harness: &Harness, cases: &[HttpCase]) {
+    for HttpCase {
         request,
         status,
-        expected,
+        expected_text,
     } in cases
     {
-        let answer = harness.exchange(request.as_bytes());
+        let response = harness.exchange(request.as_bytes());
         assert!(
-            answer.starts_with(&format!("HTTP/1.1 {status} ")),
-            "{request}\n{answer}"
+            response.starts_with(&format!("HTTP/1.1 {status} ")),
+            "{request}\n{response}"
         );
-        assert!(answer.contains(expected), "{request}\n{answer}");
+        assert!(response.contains(expected_text), "{request}\n{response}");
     }
 }
 
 #[test]
-fn http_is_answered_as_http() {
+fn http_requests_get_their_status_and_text() {
     let harness = Harness::new(&[]);
     let delete = "DELETE /health HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     let two_lengths =
@@ -75,12 +75,13 @@
 }
 
 #[test]
-fn malformed_handshakes_are_rejected_as_http() {
+fn malformed_handshakes_are_rejected_with_http_responses() {
     let harness = Harness::new(&[]);
     let old_version = format!("{KEY}sec-websocket-version: 12\r\n");
     let short_key = "sec-websocket-key: abc\r\nsec-websocket-version: 13\r\n";
-    let sound = format!("{KEY}sec-websocket-version: 13\r\n");
-    let chat = format!("{KEY}sec-websocket-version: 13\r\nsec-websocket-protocol: chat\r\n");
+    let valid = format!("{KEY}sec-websocket-version: 13\r\n");
+    let unknown_subprotocol =
+        format!("{KEY}sec-websocket-version: 13\r\nsec-websocket-protocol: chat\r\n");
     check(
         &harness,
         &[
@@ -90,13 +91,17 @@
                 "sec-websocket-version: 13",
             ),
             case(handshake("/session", short_key), "400", "16 bytes"),
-            case(handshake("/else", &sound), "404", "/session"),
-            case(handshake("/session", &chat), "400", "subprotocol"),
+            case(handshake("/else", &valid), "404", "/session"),
+            case(
+                handshake("/session", &unknown_subprotocol),
+                "400",
+                "subprotocol",
+            ),
         ],
     );
 }
 
-/// The example of RFC 6455, 1.3, without a subprotocol, and two requests on one connection before it.
+/// Sends two requests and the example handshake of RFC 6455, section 1.3, without a subprotocol, over one connection.
 #[test]
 fn a_handshake_follows_other_requests_on_one_connection() {
     let harness = Harness::new(&[]);
--- a/crates/daemon/tests/edges/lifecycle.rs
+++ b/crates/daemon/tests/edges/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start and shutdown of a front, and the list service's absence.
+//! Tests for the start and the shutdown of a front, and for a start without the list service.
 use crate::support::{self, front_text, wait_until, Harness, FREE, PAID};
 use crankpaddle_session_api::client::ClientEvent;
 use tungstenite::protocol::frame::coding::CloseCode;
@@ -23,18 +23,19 @@
     });
     first.drain();
     first.wait();
-    let gone = std::net::TcpListener::bind("127.0.0.1:0")
+    let unused_address = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let second = start(&gone);
+    let second = start(&unused_address);
     let (_, event) =
-        support::Player::connect(second.address()).open_and_wait("from-the-disk", FREE);
+        support::TestPlayer::connect(second.address()).open_and_wait("from-the-disk", FREE);
     assert!(matches!(event, ClientEvent::Plays { .. }), "{event:?}");
-    // A malformed copy prevents no front from starting.
+    // A front also starts with a malformed list on disk, but it knows no servers.
     std::fs::write(&cache, "{").unwrap();
-    let third = start(&gone);
-    let (_, event) = support::Player::connect(third.address()).open_and_wait("without-list", FREE);
+    let third = start(&unused_address);
+    let (_, event) =
+        support::TestPlayer::connect(third.address()).open_and_wait("without-list", FREE);
     assert!(matches!(event, ClientEvent::Refused { .. }), "{event:?}");
     std::fs::remove_dir_all(&dir).unwrap();
 }
@@ -66,7 +67,7 @@
     harness.set_modes(|mode| mode.hangs = false);
     assert!(
         matches!(waiting.receive(), ClientEvent::Plays { id, .. } if id == call),
-        "what was under way is answered"
+        "a pending request must be answered"
     );
     for player in [&mut playing, &mut waiting] {
         let event = player.receive();
@@ -75,7 +76,7 @@
             "{event:?}"
         );
         assert!(
-            matches!(player.socket.read(), Ok(Message::Close(Some(f))) if f.code == CloseCode::Away)
+            matches!(player.socket.read(), Ok(Message::Close(Some(frame))) if frame.code == CloseCode::Away)
         );
     }
     harness.daemon.wait();
--- a/crates/daemon/tests/edges/limits.rs
+++ b/crates/daemon/tests/edges/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of connections: pending requests, silence, bytes not read, and their number.
+//! Tests for the limits of connections: their number, their pending requests, their silence and their unread bytes.
 use crate::support::{wait_until, Harness, FREE, PAID, TEST_TIMEOUT};
 use crankpaddle_session_api::client::ClientEvent;
 use std::io::{Read, Write};
@@ -35,11 +35,11 @@
         .map(|_| player.receive())
         .filter(|event| matches!(event, ClientEvent::Failed { .. }))
         .count();
-    assert_eq!(failed, 3, "the others are answered in their time");
+    assert_eq!(failed, 3, "requests within the limit must be answered");
 }
 
 #[test]
-fn half_open_and_half_sent_connections_are_closed_after_their_timeouts() {
+fn silent_connections_and_incomplete_requests_are_closed_after_their_timeouts() {
     let harness = Harness::new(&[
         ("handshake: \"5s\"", "handshake: \"300ms\""),
         ("idle: \"30s\"", "idle: \"400ms\""),
@@ -48,38 +48,38 @@
         let mut stream = harness.connect();
         stream.write_all(request.as_bytes()).unwrap();
         let mut rest = Vec::new();
-        let _ = stream.read_to_end(&mut rest); // Closed or reset: it is over either way.
+        let _ = stream.read_to_end(&mut rest); // A close and a reset both end the connection.
     }
-    // A player that is silent is pinged; one that does not answer that is closed.
+    // A silent player is pinged, and closed if it does not answer.
     let mut silent = harness.connect_player();
     let mut bytes = [0; 2];
     silent.socket.get_mut().read_exact(&mut bytes).unwrap();
-    assert_eq!(bytes, [0x89, 0], "a ping");
+    assert_eq!(bytes, [0x89, 0], "a ping was expected");
     let mut rest = Vec::new();
     let _ = silent.socket.get_mut().read_to_end(&mut rest);
-    // One that answers pings stays.
-    let mut lively = harness.connect_player();
+    // A player that answers pings stays connected.
+    let mut responsive = harness.connect_player();
     let until = Instant::now() + Duration::from_millis(2500);
     while Instant::now() < until {
-        assert!(matches!(lively.socket.read(), Ok(Message::Ping(_))));
-        lively.socket.flush().unwrap();
+        assert!(matches!(responsive.socket.read(), Ok(Message::Ping(_))));
+        responsive.socket.flush().unwrap();
     }
-    let (_, event) = lively.open_and_wait("still-there", FREE);
+    let (_, event) = responsive.open_and_wait("still-there", FREE);
     assert!(matches!(event, ClientEvent::Plays { .. }));
 }
 
 #[test]
 fn a_player_that_never_reads_is_disconnected_and_the_others_are_served() {
     let harness = Harness::new(&[("unread: \"64KiB\"", "unread: \"16KiB\"")]);
-    let mut deaf = harness.connect_player();
-    // Each call is answered by an error that repeats its long method; nothing of it is ever read.
+    let mut non_reading = harness.connect_player();
+    // Each call is answered with an error that repeats the long method name; the player reads none of the answers.
     let text = format!(
         r#"{{"jsonrpc":"2.0","id":1,"method":"{}"}}"#,
         "x".repeat(30_000)
     );
     let until = Instant::now() + TEST_TIMEOUT;
-    while deaf.socket.send(Message::text(text.clone())).is_ok() {
-        assert!(Instant::now() < until, "it is never cut");
+    while non_reading.socket.send(Message::text(text.clone())).is_ok() {
+        assert!(Instant::now() < until, "it was never disconnected");
     }
     let mut other = harness.connect_player();
     let (_, event) = other.open_and_wait("heard-all", FREE);
@@ -89,19 +89,19 @@
 #[test]
 fn connections_beyond_the_limit_are_rejected() {
     let harness = Harness::new(&[("connections: 8000", "connections: 5")]);
-    wait_until("the probe's connection to end", || {
+    wait_until("all other connections to end", || {
         harness
             .exchange(b"GET /health HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
             .contains("\"connections\":1")
     });
     let held: Vec<_> = (0..5).map(|_| harness.connect_player()).collect();
-    let answer = harness.exchange(b"");
+    let response = harness.exchange(b"");
     assert!(
-        answer.starts_with("HTTP/1.1 503 ") && answer.contains("retry_after_ms"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 503 ") && response.contains("retry_after_ms"),
+        "{response}"
     );
     drop(held);
-    wait_until("a connection to be allowed", || {
+    wait_until("a connection to be accepted again", || {
         harness
             .exchange(b"GET /health HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
             .contains("200 OK")
--- a/crates/daemon/tests/edges/main.rs
+++ b/crates/daemon/tests/edges/main.rs
@@ -1,5 +1,6 @@
-//! What the listener gets that is no well-behaved player: malformed frames, JSON and HTTP, oversize, half-open sockets,
-//! players that never read, and more than the front may take; and the start and shutdown of a front.
+//! Tests with misbehaving clients: malformed frames, JSON and HTTP, oversized messages, incomplete requests, players that
+//! never read, and connections beyond the limits. Also tests for the start and the shutdown of a front, and for servers
+//! that start while the endpoint list does not report it.
 mod calls;
 mod frames;
 mod http;
--- a/crates/daemon/tests/edges/server_starts.rs
+++ b/crates/daemon/tests/edges/server_starts.rs
@@ -1,15 +1,15 @@
-//! Servers that start while the list does not report it.
+//! Tests with servers that start while the endpoint list does not report it.
 use crate::support::{wait_until, Harness, FREE};
 use crankpaddle_session_api::client::ClientEvent;
 use crankpaddle_testbed::record::Seen;
 
 #[test]
-fn a_restarted_server_starts_slowly_before_the_list_reports_it() {
+fn a_restarted_server_gets_a_slow_start_before_the_list_reports_the_restart() {
     let harness = Harness::new(&[]);
-    // clip-05 lies in cells 1 to 3. The front must know these servers' first incarnations to notice the second.
+    // clip-05 is in cells 1 to 3. The front must know the first incarnation of these servers to notice the second one.
     let mut player = harness.connect_player();
     let mut number = 0;
-    wait_until("the front to subscribe to all three", || {
+    wait_until("the front to subscribe to all three servers", || {
         number += 1;
         let call = player.call_open_title(&format!("before-{number:04}"), FREE, "clip-05");
         let event = player.receive();
@@ -23,8 +23,9 @@
         harness.fleet.crash(id);
         harness.fleet.restart(id).unwrap();
     }
-    // Without sessions there the front has no subscription; the first set-up at each starts one, which shows the new incarnation.
-    wait_until("the front to subscribe to all three again", || {
+    // Without a session at a server the front has no subscription to it. The first set-up at each server starts one, which
+    // shows the new incarnation.
+    wait_until("the front to subscribe to all three servers again", || {
         number += 1;
         player.call_open_title(&format!("after-{number:04}"), FREE, "clip-05");
         let event = player.receive();
@@ -46,14 +47,15 @@
     assert_eq!(
         harness.count_seen(|seen| matches!(seen, Seen::Fell { .. })),
         0,
-        "overloaded"
+        "no server may be overloaded"
     );
     assert_eq!(harness.verdict().breaches, []);
 }
 
-/// Why: without the list service nothing else reports a start, and a front without sessions at a server would take it for warmed up.
+/// Guards against overloading a server that has just started. Without the list service, only event streams report a
+/// start, so a front without a subscription to a server would treat it as warmed up.
 #[test]
-fn without_the_list_service_all_servers_are_subscribed_to_and_one_that_starts_starts_slowly() {
+fn without_the_list_service_the_front_subscribes_to_all_servers_and_notices_their_starts() {
     let harness = Harness::new(&[]);
     harness.list.set_gone(true);
     wait_until("each server to have a subscriber", || {
@@ -67,7 +69,7 @@
         harness.fleet.crash(id);
         harness.fleet.restart(id).unwrap();
     }
-    wait_until("each to have a subscriber again", || {
+    wait_until("each server to have a subscriber again", || {
         harness
             .fleet
             .servers
@@ -75,7 +77,8 @@
             .all(|server| server.listeners() > 0)
     });
     let mut player = harness.connect_player();
-    // Either it plays, which takes a server's work, or there is no admission slot, which shows that starts are known.
+    // The request is either established, which puts load on a server, or finds no admission slot, which shows that the
+    // front knows of the starts.
     player.open_and_wait("first-alone", FREE);
     let calls = 40;
     let mut answers = 0;
@@ -88,7 +91,7 @@
             ClientEvent::Plays { .. } | ClientEvent::Refused { .. } | ClientEvent::Failed { .. }
         ));
     }
-    // Each gets an admission slot in time.
+    // Admission slots become available over time, so that a later request is established.
     wait_until("an admission slot", || {
         let mut player = harness.connect_player();
         let key = format!("later-{}", harness.count_seen(|_| true));
--- a/crates/daemon/tests/errors.rs
+++ b/crates/daemon/tests/errors.rs
@@ -1,13 +1,13 @@
-//! `docs/errors.md` is generated from the error types; the test fails when it is outdated. `CRANKPADDLE_WRITE_PAGES=1`
-//! writes it.
+//! Checks that `docs/errors.md`, which is generated from the error types, is up to date. With `CRANKPADDLE_WRITE_PAGES=1`
+//! the test writes the page.
 use crankpaddle_daemon::StartError;
 use miette::Diagnostic;
 use std::path::Path;
 
 fn page() -> String {
-    let mut text = "# Errors, and what to do\n\nMade from the types by `CRANKPADDLE_WRITE_PAGES=1 cargo test -p crankpaddle-daemon --test errors`. The code \
-        stands in what a front says when it does not start (exit 1), and stays the same over releases. Faults of a configuration are told \
-        with line and column by `crankpaddle check` (exit 2).\n\n| code | for example | do |\n| --- | --- | --- |\n"
+    let mut text = "# Errors, and what to do\n\nGenerated from the error types by `CRANKPADDLE_WRITE_PAGES=1 cargo test -p crankpaddle-daemon --test errors`. \
+        A front that does not start (exit 1) prints the code, which stays the same over releases. `crankpaddle check` reports errors in a \
+        configuration with line and column (exit 2).\n\n| code | example | what to do |\n| --- | --- | --- |\n"
         .to_owned();
     for error in StartError::samples() {
         let code = error
@@ -32,7 +32,7 @@
     let published = std::fs::read_to_string(&path).unwrap_or_default();
     assert!(
         published == page(),
-        "docs/errors.md is old: CRANKPADDLE_WRITE_PAGES=1 cargo test -p crankpaddle-daemon --test errors"
+        "docs/errors.md is outdated; update it with: CRANKPADDLE_WRITE_PAGES=1 cargo test -p crankpaddle-daemon --test errors"
     );
     for error in StartError::samples() {
         assert!(error.help().is_some(), "{error}");
--- a/crates/daemon/tests/http_texts.rs
+++ b/crates/daemon/tests/http_texts.rs
@@ -1,4 +1,4 @@
-//! The exact JSON texts that a front gives over HTTP: names and order of fields, types and fixed values.
+//! Tests for the exact JSON texts that a front sends over HTTP: names and order of fields, types and fixed values.
 mod support;
 mod texts;
 use crankpaddle_daemon::Daemon;
@@ -8,7 +8,7 @@
 use support::{wait_until, Harness, FREE, PAID, TEST_TIMEOUT};
 use texts::{masked, parsed, TextPlayer, V1};
 
-fn body(address: SocketAddr, path: &str) -> String {
+fn get_body(address: SocketAddr, path: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     write!(
@@ -16,27 +16,30 @@
         "GET {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"
     )
     .unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer.split_once("\r\n\r\n").unwrap().1.to_owned()
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    response.split_once("\r\n\r\n").unwrap().1.to_owned()
 }
 
-/// Requests a resource until its body is as wanted.
-fn body_until(address: SocketAddr, path: &str, is_wanted: impl Fn(&Value) -> bool) -> String {
+/// Requests a resource until its body meets a condition; returns that body.
+fn get_body_until(address: SocketAddr, path: &str, is_met: impl Fn(&Value) -> bool) -> String {
     let mut last = String::new();
     wait_until(path, || {
-        last = body(address, path);
-        is_wanted(&parsed(&last))
+        last = get_body(address, path);
+        is_met(&parsed(&last))
     });
     last
 }
 
-/// Fetches media until some of it has come; the connection stays open as long as the returned stream.
-fn fetch_some(media: &str) -> TcpStream {
-    let (server, path) = media.trim_start_matches("http://").split_once('/').unwrap();
+/// Fetches the first bytes of a session's media. The connection stays open as long as the returned stream.
+fn fetch_some_media(media_url: &str) -> TcpStream {
+    let (server, path) = media_url
+        .trim_start_matches("http://")
+        .split_once('/')
+        .unwrap();
     let mut stream = TcpStream::connect(server).unwrap();
     write!(stream, "GET /{path} HTTP/1.1\r\nhost: a\r\n\r\n").unwrap();
-    stream.read_exact(&mut [0u8; 2000]).unwrap(); // More than a head is media.
+    stream.read_exact(&mut [0u8; 2000]).unwrap(); // A response header is shorter, so some of it is media.
     stream
 }
 
@@ -47,14 +50,16 @@
     let mut player = TextPlayer::connect(address, V1);
     player.open(1, "health-0001", FREE);
     let ready = r#"{"state":"ready","waiting":0,"playing":1,"connections":2}"#;
-    wait_until("the two connections", || body(address, "/health") == ready);
+    wait_until("both connections to be counted", || {
+        get_body(address, "/health") == ready
+    });
     harness.set_modes(|mode| mode.hangs = true);
     player.call_open(2, "health-0002", PAID);
-    wait_until("its attempt to be out", || {
+    wait_until("its attempt to arrive at a server", || {
         harness.set_ups_and_bills("health-0002").0 == 1
     });
     harness.daemon.drain();
-    let draining = body_until(address, "/health", |health| health["state"] == "draining");
+    let draining = get_body_until(address, "/health", |health| health["state"] == "draining");
     assert_eq!(
         masked(&draining),
         masked(&ready.replace("ready", "draining"))
@@ -66,25 +71,25 @@
 }
 
 #[test]
-fn paths_without_their_settings_are_problems() {
+fn paths_that_are_unknown_or_not_configured_get_problem_texts() {
     let harness = Harness::new(&[]);
     let address = harness.daemon.address();
     assert_eq!(
-        body(address, "/members"),
+        get_body(address, "/members"),
         r#"{"type":"about:blank","title":"Not Found","status":404,"detail":"this front has no peers in its configuration"}"#
     );
     assert_eq!(
-        body(address, "/fleet"),
+        get_body(address, "/fleet"),
         r#"{"type":"about:blank","title":"Not Found","status":404,"detail":"this front has no store in its configuration"}"#
     );
     assert_eq!(
-        body(address, "/nothing"),
+        get_body(address, "/nothing"),
         r#"{"type":"about:blank","title":"Not Found","status":404,"detail":"nothing at /nothing; known: /api, /fleet, /health, /members, /session, /traffic"}"#
     );
 }
 
 #[test]
-fn traffic_names_flows_and_budgets() {
+fn traffic_lists_flows_and_budgets() {
     let changes = [
         ("title { name: \"clip-00\"", "title { group: \"sport\" name: \"clip-00\""),
         (
@@ -98,26 +103,27 @@
     let mut player = TextPlayer::connect(address, V1);
     let open = r#"{"jsonrpc":"2.0","id":1,"method":"session.open","params":{"key":"traffic-0001","class":"licensed-view","title":"clip-00","tenant":"main"}}"#;
     let opened = parsed(&player.call(open));
-    let _media = fetch_some(opened["result"]["media"].as_str().unwrap());
-    let traffic = body_until(address, "/traffic", |traffic| {
+    let _media = fetch_some_media(opened["result"]["media"].as_str().unwrap());
+    let traffic = get_body_until(address, "/traffic", |traffic| {
         traffic["flows"][0]["hours"][0].is_object()
     });
-    // Its server is in either zone.
+    // The session's server may be in either zone.
     let from = parsed(&traffic)["flows"][0]["from"].clone();
     let crosses = from != "north";
-    // As many as the traffic had in spans of the clock, which may pass from one to the next meanwhile.
-    let spans = |name: &str| {
+    // The traffic is counted by minute and by hour. One or two entries are possible, because a minute or an hour may end
+    // during the test.
+    let period_entries = |name: &str| {
         let count = parsed(&traffic)["flows"][0][name].as_array().map(Vec::len);
         assert!(matches!(count, Some(1 | 2)), "{name}: {count:?}");
         vec![r##"{"at_ms":#,"bytes":#}"##; count.unwrap()].join(",")
     };
-    let wanted = r##"{"front":#,"at_ms":#,"flows":[{"from":FROM,"to":"north","class":"licensed-view","tenant":"main","group":"sport","purpose":"playing","crosses":CROSSES,"bytes":#,"measured_bytes":#,"corrected_bytes":#,"estimated_bytes":#,"overstated_bytes":#,"minutes":[MINUTES],"hours":[HOURS]}],"budgets":[{"from":"south","to":"north","rate_kb":#.#,"part":#.#,"level":#.#,"paid_kb":#.#,"other_kb":#.#,"overdraft_hall_lost_bytes":#,"overdraft_hall_full_bytes":#,"written_off_bytes":#,"lowered_sessions":#}],"unsettled_sessions":#,"too_late":#}"##;
-    let wanted = wanted
+    let expected = r##"{"front":#,"at_ms":#,"flows":[{"from":FROM,"to":"north","class":"licensed-view","tenant":"main","group":"sport","purpose":"playing","crosses":CROSSES,"bytes":#,"measured_bytes":#,"corrected_bytes":#,"estimated_bytes":#,"overstated_bytes":#,"minutes":[MINUTES],"hours":[HOURS]}],"budgets":[{"from":"south","to":"north","rate_kb":#.#,"part":#.#,"level":#.#,"paid_kb":#.#,"other_kb":#.#,"overdraft_hall_lost_bytes":#,"overdraft_hall_full_bytes":#,"written_off_bytes":#,"lowered_sessions":#}],"unsettled_sessions":#,"too_late":#}"##;
+    let expected = expected
         .replace("FROM", &from.to_string())
         .replace("CROSSES", &crosses.to_string())
-        .replace("MINUTES", &spans("minutes"))
-        .replace("HOURS", &spans("hours"));
-    assert_eq!(masked(&traffic), wanted);
+        .replace("MINUTES", &period_entries("minutes"))
+        .replace("HOURS", &period_entries("hours"));
+    assert_eq!(masked(&traffic), expected);
     let budget = &parsed(&traffic)["budgets"][0];
     assert_eq!(
         (&budget["rate_kb"], &budget["part"]),
@@ -125,20 +131,21 @@
     );
 }
 
-fn peers(name: &str, seed: &str, key: &std::path::Path) -> String {
+/// The `peers` block of a front's configuration. `seed` is the setting for the address of another front, or empty.
+fn peers_block(name: &str, seed: &str, key: &std::path::Path) -> String {
     format!(
         "peers {{ name: \"{name}\" listen: \"127.0.0.1:0\" {seed} key_file: {key:?} probe_every: \"500ms\" }}\nlog {{"
     )
 }
 
 #[test]
-fn members_name_themselves_and_each_peer() {
+fn members_lists_the_front_itself_and_each_peer() {
     let dir = tempfile::tempdir().unwrap();
     let key = dir.path().join("key");
     std::fs::write(&key, "00112233445566778899aabbccddeeff").unwrap();
-    let harness = Harness::new(&[("log {", &peers("a", "", &key))]);
+    let harness = Harness::new(&[("log {", &peers_block("a", "", &key))]);
     let address = harness.daemon.address();
-    let alone = body(address, "/members");
+    let alone = get_body(address, "/members");
     let own = parsed(&alone)["address"].clone();
     let counted = r##""counted":{"accused":#,"bytes_sent":#,"dropped_garbage":#,"dropped_old_life":#,"dropped_other_fleet":#,"dropped_other_version":#,"dropped_stray":#,"forged":#,"name_conflicts":#,"not_answered_flood":#,"not_sent_budget":#}"##;
     assert_eq!(
@@ -147,11 +154,11 @@
             r##"{{"name":"a","address":{own},"standing":"alone","members":[],"sent":#,"heard":#,"dropped":#,{counted},"turns":[]}}"##
         )
     );
-    let other = support::fleet_text(&[("log {", &peers("b", &format!("seed: {own}"), &key))]);
+    let other = support::fleet_text(&[("log {", &peers_block("b", &format!("seed: {own}"), &key))]);
     let other = support::front_text(&other, &harness.list.address, "");
     let other = Daemon::start(crankpaddle_config::parse(&other).unwrap()).unwrap();
     for (front, name, peer) in [(address, "a", "b"), (other.address(), "b", "a")] {
-        let members = body_until(front, "/members", |members| {
+        let members = get_body_until(front, "/members", |members| {
             members["standing"] == "connected" && members["members"][0]["rtt_us"].is_u64()
         });
         let value = parsed(&members);
@@ -174,7 +181,7 @@
     let folder = dir.path().join("store");
     let store = format!("store {{ name: \"s\" dir: {folder:?} key_file: {key:?} boot_file: {boot:?} settle: \"20s\" calm: \"1ms\" }}\nlog {{");
     let harness = Harness::new(&[("log {", &store)]);
-    let fleet = body_until(harness.daemon.address(), "/fleet", |fleet| {
+    let fleet = get_body_until(harness.daemon.address(), "/fleet", |fleet| {
         fleet["stage"] == "all" && fleet["store"] == "written"
     });
     assert_eq!(
--- a/crates/daemon/tests/paid.rs
+++ b/crates/daemon/tests/paid.rs
@@ -1,4 +1,5 @@
-//! Paid set-ups and a disk that is slow, full, or no disk: what is sent, what is answered, and what free classes see of it.
+//! Tests for paid set-ups while the disk is slow, full or missing: paid requests are rejected, and free classes are served
+//! as usual.
 mod support;
 use crankpaddle_session_api::client::ClientEvent;
 use crankpaddle_store::Store;
@@ -11,7 +12,8 @@
 use support::{wait_until, Backend, Harness, FREE, PAID};
 use tempfile::TempDir;
 
-fn config(dir: &Path, folder: &Path) -> String {
+/// The `store` block of a front's configuration, with the store in `folder` and its key file in `dir`.
+fn store_block(dir: &Path, folder: &Path) -> String {
     let key = dir.join("key");
     std::fs::write(&key, "00112233445566778899aabbccddeeff").unwrap();
     format!(
@@ -19,10 +21,11 @@
     )
 }
 
-/// A front whose store is on such a disk.
+/// Starts a front whose store is on a simulated disk.
 fn start_on(disk: &Poor) -> (Harness, TempDir) {
     let dir = tempfile::tempdir().unwrap();
-    let backend = Backend::new(&[("log {", &config(dir.path(), &dir.path().join("store")))]);
+    let block = store_block(dir.path(), &dir.path().join("store"));
+    let backend = Backend::new(&[("log {", &block)]);
     let disk = disk.clone();
     let daemon = crankpaddle_daemon::Daemon::start_on(backend.front_config(), |boot| {
         Store::open_backend(disk, boot)
@@ -31,14 +34,15 @@
     (Harness::with_front(backend, daemon, ""), dir)
 }
 
+/// The state of the store as `GET /fleet` reports it.
 fn store_state(harness: &Harness) -> String {
     let mut stream = harness.connect();
     stream
         .write_all(b"GET /fleet HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")
         .unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    let state = answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    let state = response
         .split("\"store\":\"")
         .nth(1)
         .and_then(|rest| rest.split('"').next());
@@ -50,9 +54,9 @@
     let disk = Poor::new();
     let (harness, _dir) = start_on(&disk);
     disk.slow.store(400, Ordering::Release);
-    let (mut payer, mut other) = (harness.connect_player(), harness.connect_player());
+    let (mut paying, mut other) = (harness.connect_player(), harness.connect_player());
     let started_at = Instant::now();
-    payer.call_open("slow-paid", PAID);
+    paying.call_open("slow-paid", PAID);
     assert!(matches!(
         other.open_and_wait("quick-free", FREE).1,
         ClientEvent::Plays { .. }
@@ -60,10 +64,10 @@
     assert_eq!(
         harness.set_ups_and_bills("slow-paid").0,
         0,
-        "nothing of it is sent yet; the free one plays after {:?}",
+        "the paid set-up was sent too early; the free session was established after {:?}",
         started_at.elapsed()
     );
-    assert!(matches!(payer.receive(), ClientEvent::Plays { .. }));
+    assert!(matches!(paying.receive(), ClientEvent::Plays { .. }));
     assert!(started_at.elapsed() >= Duration::from_millis(400));
     assert_eq!(harness.set_ups_and_bills("slow-paid"), (1, 1));
 }
@@ -73,17 +77,19 @@
     let disk = Poor::new();
     let (harness, _dir) = start_on(&disk);
     disk.slow.store(2500, Ordering::Release);
-    let mut payer = harness.connect_player();
+    let mut paying = harness.connect_player();
     let started_at = Instant::now();
-    let (_, event) = payer.open_and_wait("too-slow", PAID);
+    let (_, event) = paying.open_and_wait("too-slow", PAID);
     assert!(
         started_at.elapsed() < Duration::from_millis(1500),
-        "its viewer waits 1.5 s"
+        "a viewer waits no longer than 1.5 s"
     );
     assert!(matches!(event, ClientEvent::Refused { .. }), "{event:?}");
-    // The disk has written it by then, and it is not sent after all.
+    // The set-up must not be sent even after its intent is on disk.
     let syncs = disk.syncs.load(Ordering::Acquire);
-    wait_until("the disk", || disk.syncs.load(Ordering::Acquire) > syncs);
+    wait_until("the disk to write", || {
+        disk.syncs.load(Ordering::Acquire) > syncs
+    });
     assert!(matches!(
         harness
             .connect_player()
@@ -95,7 +101,7 @@
 }
 
 #[test]
-fn a_full_disk_rejects_paid_set_ups_serves_free_classes_and_recovers_with_capacity() {
+fn with_a_full_disk_paid_set_ups_are_rejected_until_it_has_space_and_free_classes_are_served() {
     let disk = Poor::new();
     let (harness, _dir) = start_on(&disk);
     let mut player = harness.connect_player();
@@ -107,7 +113,7 @@
     let (_, event) = player.open_and_wait("while-full", PAID);
     assert!(
         matches!(event, ClientEvent::Refused { .. }),
-        "nothing ran: {event:?}"
+        "nothing ran, so the request is rejected: {event:?}"
     );
     assert_eq!(
         (
@@ -121,7 +127,7 @@
         ClientEvent::Plays { .. }
     ));
     disk.full.store(false, Ordering::Release);
-    wait_until("the disk to have capacity", || {
+    wait_until("the front to write to the disk again", || {
         let mut player = harness.connect_player();
         matches!(
             player
@@ -138,16 +144,17 @@
 }
 
 #[test]
-fn a_front_starts_without_a_disk_and_rejects_paid_set_ups() {
+fn a_front_starts_without_a_usable_disk_and_rejects_paid_set_ups() {
     let dir = tempfile::tempdir().unwrap();
-    // No folder can be made below a file; a device that is always full stands for a full disk.
+    // The first store can't be created, because its folder would be below a file. The second one is on `/dev/full`, which
+    // stands for a full disk.
     std::fs::write(dir.path().join("file"), "").unwrap();
     let full = dir.path().join("full");
     std::fs::create_dir(&full).unwrap();
     std::os::unix::fs::symlink("/dev/full", full.join("front.redb")).unwrap();
     std::fs::write(full.join("VERSION"), "1\n").unwrap();
     for folder in [dir.path().join("file/below"), full] {
-        let harness = Harness::new(&[("log {", &config(dir.path(), &folder))]);
+        let harness = Harness::new(&[("log {", &store_block(dir.path(), &folder))]);
         assert_eq!(store_state(&harness), "unusable", "{folder:?}");
         let mut player = harness.connect_player();
         assert!(matches!(
--- a/crates/daemon/tests/player_texts.rs
+++ b/crates/daemon/tests/player_texts.rs
@@ -1,4 +1,4 @@
-//! The exact JSON texts that players get: answers, errors and notifications.
+//! Tests for the exact JSON texts that players receive: answers, errors and notifications.
 mod support;
 mod texts;
 use serde_json::json;
@@ -26,7 +26,7 @@
             r#"{{"id":"one","jsonrpc":"2.0","result":{{"media":{media},"rung":4,"session":{session}}}}}"#
         )
     );
-    // Another connection resumes it, in the later version.
+    // Another connection, which uses the second version of the API, resumes the session.
     let mut other = TextPlayer::connect(address, V2);
     let resumed = other.call(
         r#"{"jsonrpc":"2.0","id":2,"method":"session.resume","params":{"key":"exact-0001"}}"#,
@@ -59,7 +59,7 @@
 fn malformed_calls_get_exact_texts() {
     let harness = Harness::new(&[]);
     let mut player = TextPlayer::connect(harness.daemon.address(), V2);
-    for (call, wanted) in [
+    for (call, expected) in [
         (
             r#"{"jsonrpc":"2.0","id":3,"method":"session.close","params":{"session":"s-9"}}"#,
             r#"{"error":{"code":-32004,"message":"no such session"},"id":3,"jsonrpc":"2.0"}"#,
@@ -93,7 +93,7 @@
             r#"{"error":{"code":-32602,"data":{"field":"class"},"message":"no class \"none\" here"},"id":8,"jsonrpc":"2.0"}"#,
         ),
     ] {
-        assert_eq!(player.call(call), wanted);
+        assert_eq!(player.call(call), expected);
     }
 }
 
@@ -119,7 +119,7 @@
     );
     harness.set_modes(|mode| (mode.errors, mode.hangs) = (0.0, true));
     player.call_open(5, "hangs-0001", PAID);
-    wait_until("its attempt to be out", || {
+    wait_until("its attempt to arrive at a server", || {
         harness.set_ups_and_bills("hangs-0001").0 == 1
     });
     let mut other = TextPlayer::connect(address, V1);
@@ -141,25 +141,25 @@
     for id in 1..7 {
         player.open(id, &format!("crowded-{id:04}"), FREE);
     }
-    let notice = |text: &str, params: &str| {
+    let check_notification = |text: &str, params: &str| {
         let session = parsed(text)["params"]["session"].clone();
         let method = parsed(text)["method"].clone();
-        let wanted = format!(
+        let expected = format!(
             r#"{{"jsonrpc":"2.0","method":{method},"params":{{{params},"session":{session}}}}}"#
         );
-        assert_eq!(masked(text), wanted);
+        assert_eq!(masked(text), expected);
     };
     harness.fleet.set_slow(8.0);
-    notice(&player.read_until("\"session.rung\""), r##""rung":#"##);
+    check_notification(&player.read_until("\"session.rung\""), r##""rung":#"##);
     harness.fleet.set_slow(1.0);
     (0..12).for_each(|id| harness.fleet.end_sessions(id, true));
-    notice(
+    check_notification(
         &player.read_until("\"session.end\""),
         r#""reason":"finished""#,
     );
     player.open(8, "lost-00001", FREE);
     (0..12).for_each(|id| harness.fleet.crash(id));
-    notice(
+    check_notification(
         &player.read_until("\"server_lost\""),
         r##""reason":"server_lost","retry_after_ms":#"##,
     );
--- a/crates/daemon/tests/set_ups.rs
+++ b/crates/daemon/tests/set_ups.rs
@@ -1,4 +1,4 @@
-//! Servers that misbehave during a set-up, and players that disconnect during one.
+//! Tests with servers that misbehave during a set-up or are lost after it, and with players that disconnect during one.
 mod support;
 use crankpaddle_daemon::WorkInProgress;
 use crankpaddle_session_api::client::ClientEvent;
@@ -20,10 +20,10 @@
     let mut player = harness.connect_player();
     let started_at = Instant::now();
     let (call, event) = player.open_and_wait("silent-paid", PAID);
-    let took = started_at.elapsed();
+    let elapsed = started_at.elapsed();
     assert!(
-        took < Duration::from_millis(1500),
-        "its viewer waits 1.5 s: {took:?}"
+        elapsed < Duration::from_millis(1500),
+        "a viewer waits no longer than 1.5 s: {elapsed:?}"
     );
     assert!(
         matches!(&event, ClientEvent::Failed { id, reason } if *id == call && reason == "no_answer"),
@@ -32,16 +32,18 @@
     assert_eq!(
         harness.set_ups_and_bills("silent-paid"),
         (1, 1),
-        "it ran and was billed; that was not to be known"
+        "the session ran and was billed, which the front can't know"
     );
-    // To the same request again, the front gives the same answer and sends nothing.
+    // The same request again gets the same answer, and nothing is sent.
     let (_, again) = player.open_and_wait("silent-paid", PAID);
     assert_eq!(
         (reason(&again), harness.set_ups_and_bills("silent-paid")),
         ("no_answer", (1, 1))
     );
     harness.set_modes(|mode| mode.hangs = false);
-    wait_until("the server to drop it", || harness.fleet.streams() == 0);
+    wait_until("the server to end the session", || {
+        harness.fleet.streams() == 0
+    });
     assert_eq!(harness.verdict().breaches, []);
 }
 
@@ -52,12 +54,14 @@
     let mut player = harness.connect_player();
     let (_, event) = player.open_and_wait("late-paid", PAID);
     assert_eq!(reason(&event), "no_answer");
-    harness.set_modes(|mode| mode.hangs = false); // Now it would answer.
+    harness.set_modes(|mode| mode.hangs = false); // The server answers from now on.
     assert!(
         player.is_silent(Duration::from_millis(300)),
-        "one answer, not two"
+        "the request must not get a second answer"
     );
-    wait_until("the server to drop it", || harness.fleet.streams() == 0);
+    wait_until("the server to end the session", || {
+        harness.fleet.streams() == 0
+    });
     assert_eq!(
         (
             harness.daemon.work_in_progress(),
@@ -68,7 +72,7 @@
 }
 
 #[test]
-fn a_reset_after_billing_is_a_failure_and_never_a_second_set_up() {
+fn a_reset_after_billing_is_reported_as_a_failure_and_never_retried() {
     let harness = Harness::new(&[]);
     harness.set_modes(|mode| mode.bills_and_resets = 1.0);
     let mut player = harness.connect_player();
@@ -77,20 +81,23 @@
         (reason(&event), harness.set_ups_and_bills("billed-reset")),
         ("broken", (1, 1))
     );
-    // A free one may be retried elsewhere.
+    // A free request may be retried at another server.
     let (_, event) = player.open_and_wait("free-reset", FREE);
     assert!(matches!(
         event,
         ClientEvent::Refused { .. } | ClientEvent::Failed { .. }
     ));
-    assert!(harness.set_ups_and_bills("free-reset").0 > 1, "retried");
+    assert!(
+        harness.set_ups_and_bills("free-reset").0 > 1,
+        "a free request must be retried"
+    );
     assert_eq!(harness.verdict().breaches, []);
 }
 
 #[test]
 fn a_paid_set_up_is_retried_elsewhere_after_a_refused_connection() {
     let harness = Harness::new(&[]);
-    // All holders of the title but the last are down; the list does not say so.
+    // All servers that hold the title, except the last one, are down. The endpoint list does not report it.
     for id in [3, 4] {
         harness.crash(id);
     }
@@ -101,7 +108,7 @@
         assert_eq!(
             harness.set_ups_and_bills(&format!("elsewhere-{number}")),
             (1, 1),
-            "refused connections never reached a server"
+            "only one attempt may reach a server"
         );
     }
     assert_eq!(harness.verdict().breaches, []);
@@ -156,7 +163,7 @@
 }
 
 #[test]
-fn two_players_with_one_key_get_an_answer_each_and_one_session() {
+fn two_players_with_the_same_key_get_one_answer_each_and_share_one_session() {
     let harness = Harness::new(&[]);
     harness.set_modes(|mode| mode.hangs = true);
     let (mut first, mut second) = (harness.connect_player(), harness.connect_player());
@@ -176,9 +183,9 @@
     );
     assert!(
         matches!(first.close_session(&session), ClientEvent::Unknown { .. }),
-        "it is not the first one's"
+        "the session must not belong to the first player"
     );
-    // The first resumes it: the second is notified.
+    // When the first player resumes the session, the second one is notified.
     first.send(
         r#"{"jsonrpc":"2.0","id":9,"method":"session.resume","params":{"key":"claimed-by-two"}}"#,
     );
@@ -192,7 +199,7 @@
 }
 
 #[test]
-fn a_server_that_sends_a_byte_a_second_delays_nobody() {
+fn a_server_that_sends_one_byte_a_second_delays_no_answer() {
     let harness = Harness::new(&[]);
     harness.set_modes(|mode| mode.trickles = true);
     let mut player = harness.connect_player();
@@ -212,7 +219,7 @@
     );
     assert!(
         started_at.elapsed() < Duration::from_millis(3600),
-        "1.5 s and 2 s, and some for this machine"
+        "the timeouts are 1.5 s and 2 s, and 0.1 s is allowed for the machine"
     );
     assert_eq!(harness.verdict().breaches, []);
 }
@@ -276,9 +283,9 @@
             }
         )),
         2,
-        "the probe and this"
+        "only the probe's session and this one may have been set up"
     );
-    // And the viewer reconnects.
+    // The viewer can open a session again.
     let (_, event) = player.open_and_wait("lost-again", FREE);
     assert!(matches!(event, ClientEvent::Plays { .. }), "{event:?}");
 }
--- a/crates/daemon/tests/support/backend.rs
+++ b/crates/daemon/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! What a front needs around it: its configuration, stand-in servers and a list service.
+//! The environment of a front under test: its configuration, simulated servers and a list service.
 use crankpaddle_config::Config;
 use crankpaddle_daemon::Daemon;
 use crankpaddle_testbed::list_service::{entry, EndpointState, ListService};
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The text of the fleet's configuration with short times, and each change made in it.
+/// The text of the fleet's configuration with short timeouts. Each change replaces the first occurrence of a text.
 pub(crate) fn fleet_text(changes: &[(&str, &str)]) -> String {
-    let quick = [
+    let short_timeouts = [
         (
             "aim: \"800ms\"\n  give_up: \"4s\"",
             "aim: \"400ms\"\n  give_up: \"1500ms\"",
@@ -20,26 +20,26 @@
             "aim: \"1s\"\n  give_up: \"5s\"",
             "aim: \"400ms\"\n  give_up: \"2s\"",
         ),
-        // Wide, so that a busy machine that runs the tests is not taken for a late front.
+        // Longer than the default, so that a busy machine does not make the front miss its deadlines.
         ("answer_margin: \"100ms\"", "answer_margin: \"500ms\""),
         ("resume: \"3s\"", "resume: \"700ms\""),
         ("silence: \"2s\"", "silence: \"1s\""),
     ];
     let mut text = FLEET.to_owned();
-    for (from, to) in quick.iter().chain(changes) {
+    for (from, to) in short_timeouts.iter().chain(changes) {
         assert!(text.contains(from), "{from}");
         text = text.replacen(from, to, 1);
     }
     text
 }
 
-/// The text of a front's configuration.
+/// The text of the configuration of a front with this list service and this file for the cached list.
 pub(crate) fn front_text(fleet_text: &str, list: &SocketAddr, cache: &str) -> String {
     let block = front_block(0, 1, "north", &list.to_string(), cache);
     format!("{block}{fleet_text}").replacen("front {", "front {\n  seed: 5", 1)
 }
 
-/// Starts the stand-in servers.
+/// Starts the simulated servers.
 pub(crate) fn start_fleet(fleet_text: &str) -> (Arc<Config>, Arc<Fleet>, Recorder) {
     crankpaddle_net::start(Some(2));
     let no_list = "127.0.0.1:1".parse().unwrap();
@@ -71,7 +71,7 @@
     ListService::start(entries, Duration::from_nanos(1_000_000), recorder.clone()).unwrap()
 }
 
-/// Servers and a list service, before any front.
+/// Simulated servers and a list service, without a front.
 pub(crate) struct Backend {
     pub config: Arc<Config>,
     pub fleet: Arc<Fleet>,
--- a/crates/daemon/tests/support/harness.rs
+++ b/crates/daemon/tests/support/harness.rs
@@ -1,5 +1,5 @@
-//! A front before servers of its own.
-use super::{wait_until, Backend, Player, FREE, TEST_TIMEOUT};
+//! A front under test, with servers and a list service of its own.
+use super::{wait_until, Backend, TestPlayer, FREE, TEST_TIMEOUT};
 use crankpaddle_config::Config;
 use crankpaddle_daemon::Daemon;
 use crankpaddle_session_api::client::ClientEvent;
@@ -27,12 +27,12 @@
         Harness::with_tenant(changes, "")
     }
 
-    /// Where the changes name tenants, one of them must be given.
+    /// Starts a front whose configuration has `changes`. If they configure tenants, `tenant` must be one of them.
     pub(crate) fn with_tenant(changes: &[(&str, &str)], tenant: &str) -> Harness {
         Harness::start_on(Backend::new(changes), tenant, |_| {})
     }
 
-    /// A front on this backend, to which something is done before the front starts.
+    /// Calls `prepare`, then starts a front on this backend.
     pub(crate) fn start_on(
         backend: Backend,
         tenant: &str,
@@ -43,7 +43,7 @@
         Harness::with_front(backend, daemon, tenant)
     }
 
-    /// A front that was started by the caller.
+    /// Creates a harness for a front that the caller started, and waits until it can place requests.
     pub(crate) fn with_front(backend: Backend, daemon: Daemon, tenant: &str) -> Harness {
         let harness = Harness {
             config: backend.config,
@@ -56,12 +56,12 @@
         harness
     }
 
-    /// Waits until the front has a list: only then a request can be placed.
+    /// Waits until the front has an endpoint list, without which it can't place requests.
     pub(crate) fn wait_for_list(&self, tenant: &str) {
-        wait_until("the list to be sent", || {
+        wait_until("the endpoint list to be sent", || {
             self.count_seen(|seen| matches!(seen, Seen::Listed { .. })) > 0
         });
-        // Sent is not yet handled: requests are sent until one is placed.
+        // The front may not have handled the list yet, so requests are repeated until one is established.
         let mut player = self.connect_player();
         player.tenant = (!tenant.is_empty()).then(|| tenant.to_owned());
         let deadline = Instant::now() + TEST_TIMEOUT;
@@ -73,14 +73,13 @@
             }
             assert!(Instant::now() < deadline, "{event:?}");
         }
-        wait_until("the probe to end", || self.fleet.streams() == 0);
+        wait_until("the probe's session to end", || self.fleet.streams() == 0);
     }
 
-    /// Changes how all servers behave.
-    /// Ends a server's process and waits until its port is closed.
+    /// Crashes a server and waits until its port is closed.
     ///
-    /// Why it waits: the stand-in closes its listener in a coroutine of its own; until then connections are accepted, and
-    /// reset a moment later instead of refused.
+    /// The simulated server closes its listener in a coroutine of its own. Until then connections are accepted and reset a
+    /// moment later, instead of being refused.
     pub(crate) fn crash(&self, id: u32) {
         self.fleet.crash(id);
         let address = self.fleet.servers[id as usize].address;
@@ -89,30 +88,31 @@
         });
     }
 
+    /// Changes the behavior of all servers.
     pub(crate) fn set_modes(&self, change: impl Fn(&mut Mode)) {
         for id in 0..12 {
             self.fleet.set_mode(id, &change);
         }
     }
 
-    /// How many recorded events are like this.
+    /// The number of recorded events that `is_counted` selects.
     pub(crate) fn count_seen(&self, is_counted: impl Fn(&Seen) -> bool) -> usize {
         let records = self.recorder.all();
         let counted = records.iter().filter(|record| is_counted(&record.seen));
         counted.count()
     }
 
-    /// How often the session with this key was set up, and how often it was billed.
+    /// How often servers received a set-up for this key, and how often they billed it.
     pub(crate) fn set_ups_and_bills(&self, key: &str) -> (usize, usize) {
-        let label = crankpaddle_server_protocol::sessions::billing_key(key);
-        let set_ups =
-            self.count_seen(|seen| matches!(seen, Seen::SetUp { bill, .. } if *bill == label));
-        let bills =
-            self.count_seen(|seen| matches!(seen, Seen::Billed { bill, .. } if *bill == label));
+        let billing_key = crankpaddle_server_protocol::sessions::billing_key(key);
+        let set_ups = self
+            .count_seen(|seen| matches!(seen, Seen::SetUp { bill, .. } if *bill == billing_key));
+        let bills = self
+            .count_seen(|seen| matches!(seen, Seen::Billed { bill, .. } if *bill == billing_key));
         (set_ups, bills)
     }
 
-    /// The checker's verdict on what the servers saw; the players here are not recorded.
+    /// The invariant checker's verdict on the events at the servers; players are not recorded here.
     pub(crate) fn verdict(&self) -> Verdict {
         let records: Vec<Record> = self.recorder.all();
         let drain_grace = Duration::from_nanos(1_000_000_000);
@@ -121,23 +121,23 @@
         judge(&rules, &records)
     }
 
-    pub(crate) fn connect_player(&self) -> Player {
-        Player::connect(self.daemon.address())
+    pub(crate) fn connect_player(&self) -> TestPlayer {
+        TestPlayer::connect(self.daemon.address())
     }
 
-    /// A connection without any protocol.
+    /// Opens a plain TCP connection to the front.
     pub(crate) fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.daemon.address()).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream
     }
 
-    /// Sends bytes and reads all until the front closes.
+    /// Sends bytes over a new connection and returns everything that is received until it ends.
     pub(crate) fn exchange(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect();
         stream.write_all(bytes).unwrap();
-        let mut answer = Vec::new();
-        let _ = stream.read_to_end(&mut answer); // A reset after the answer is an end too.
-        String::from_utf8_lossy(&answer).into_owned()
+        let mut response = Vec::new();
+        let _ = stream.read_to_end(&mut response); // The connection may also end with a reset.
+        String::from_utf8_lossy(&response).into_owned()
     }
 }
--- a/crates/daemon/tests/support/player.rs
+++ b/crates/daemon/tests/support/player.rs
@@ -1,4 +1,4 @@
-//! A player of the session API's first version.
+//! A player that uses the first version of the session API.
 use super::TEST_TIMEOUT;
 use crankpaddle_session_api::client::{self, ClientEvent};
 use crankpaddle_session_api::methods::Open;
@@ -9,14 +9,16 @@
 use tungstenite::{Message, WebSocket};
 
 /// A player on a blocking socket.
-pub(crate) struct Player {
+pub(crate) struct TestPlayer {
     pub socket: WebSocket<TcpStream>,
+    /// Number of calls so far, which is the id of the last one.
     calls: u64,
+    /// The tenant that calls name; `None` if they name none.
     pub tenant: Option<String>,
 }
 
-impl Player {
-    pub(crate) fn connect(address: SocketAddr) -> Player {
+impl TestPlayer {
+    pub(crate) fn connect(address: SocketAddr) -> TestPlayer {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut request = format!("ws://{address}/session")
@@ -26,12 +28,12 @@
             "sec-websocket-protocol",
             "session.v1.jsonrpc".parse().unwrap(),
         );
-        let (socket, answer) = tungstenite::client::client(request, stream).unwrap();
+        let (socket, response) = tungstenite::client::client(request, stream).unwrap();
         assert_eq!(
-            answer.headers()["sec-websocket-protocol"],
+            response.headers()["sec-websocket-protocol"],
             "session.v1.jsonrpc"
         );
-        Player {
+        TestPlayer {
             socket,
             calls: 0,
             tenant: None,
@@ -42,7 +44,7 @@
         self.socket.send(Message::text(text.into())).unwrap();
     }
 
-    /// Calls for a session with this title; returns the call's number.
+    /// Calls `session.open` for a title without waiting for the answer; returns the call's id.
     pub(crate) fn call_open_title(&mut self, key: &str, class: &str, title: &str) -> u64 {
         self.calls += 1;
         let open = Open {
@@ -56,7 +58,7 @@
         self.calls
     }
 
-    /// Calls for a session; returns the call's number.
+    /// Calls `session.open` for the default title without waiting for the answer; returns the call's id.
     pub(crate) fn call_open(&mut self, key: &str, class: &str) -> u64 {
         self.call_open_title(key, class, "clip-03")
     }
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Calls for a session; returns the call's number and the next event.
+    /// Calls `session.open` for the default title; returns the call's id and the next event.
     pub(crate) fn open_and_wait(&mut self, key: &str, class: &str) -> (u64, ClientEvent) {
         let call = self.call_open(key, class);
         (call, self.receive())
@@ -89,10 +91,13 @@
         }
     }
 
-    /// Whether nothing more comes within a time; only to check what must not come.
-    pub(crate) fn is_silent(&mut self, time: Duration) -> bool {
-        self.socket.get_ref().set_read_timeout(Some(time)).unwrap();
-        let is_silent = matches!(self.socket.read(), Err(tungstenite::Error::Io(e)) if e.kind() == ErrorKind::WouldBlock);
+    /// Whether nothing is received for a duration. Only for checks that a message is not sent, because it waits that long.
+    pub(crate) fn is_silent(&mut self, duration: Duration) -> bool {
+        self.socket
+            .get_ref()
+            .set_read_timeout(Some(duration))
+            .unwrap();
+        let is_silent = matches!(self.socket.read(), Err(tungstenite::Error::Io(error)) if error.kind() == ErrorKind::WouldBlock);
         let stream = self.socket.get_ref();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         is_silent
--- a/crates/daemon/tests/texts/mod.rs
+++ b/crates/daemon/tests/texts/mod.rs
@@ -1,4 +1,4 @@
-//! A player that sees texts as they are, and texts with their numbers masked.
+//! A player that sends and receives raw JSON texts, and a function that masks the numbers in them.
 use crate::support::TEST_TIMEOUT;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
@@ -7,18 +7,18 @@
 
 pub(crate) const V1: &str = "session.v1.jsonrpc";
 
-/// A text with `#` for each whole number and `#.#` for each other one, so that the rest is the same in all runs: key paths, their
-/// order, the type of each value, and all words. Digits inside of strings stay.
+/// Replaces each integer in a JSON text by `#` and each other number by `#.#`. The rest is the same in all runs: the keys,
+/// their order, the type of each value, and all words. Digits inside strings stay.
 pub(crate) fn masked(text: &str) -> String {
     let mut masked = String::new();
-    for (at, piece) in text.split('"').enumerate() {
-        let is_in_string = at % 2 == 1;
-        if at > 0 {
+    for (index, piece) in text.split('"').enumerate() {
+        let is_in_string = index % 2 == 1;
+        if index > 0 {
             masked.push('"');
         }
-        let numbers = |c: char| c.is_ascii_digit() || "+-.".contains(c);
+        let is_in_number = |c: char| c.is_ascii_digit() || "+-.".contains(c);
         let mut rest = piece;
-        while let (false, Some(start)) = (is_in_string, rest.find(numbers)) {
+        while let (false, Some(start)) = (is_in_string, rest.find(is_in_number)) {
             let tail = &rest[start..];
             let end = tail.find([',', ']', '}']).unwrap_or(tail.len());
             masked.push_str(&rest[..start]);
@@ -35,7 +35,7 @@
     serde_json::from_str(text).unwrap()
 }
 
-/// A player that sends and reads texts as they are.
+/// A player that sends and receives raw JSON texts.
 pub(crate) struct TextPlayer(pub WebSocket<TcpStream>);
 
 impl TextPlayer {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Reads until a text holds a word.
+    /// Reads until a text contains `word`; returns that text.
     pub(crate) fn read_until(&mut self, word: &str) -> String {
         loop {
             let text = self.read();
