--- a/crates/daemon/src/event_loop/durable_setup.rs
+++ b/crates/daemon/src/event_loop/durable_setup.rs
@@ -54,7 +54,7 @@
         };
         let class = name_at(&config.classes, usize::from(order.class));
         let incarnation = self.incarnation_of(server);
-        let name = self.shared.names.attempt(attempt);
+        let name = self.shared.names.attempt_name(attempt);
         let Some(durable) = &mut self.durable else {
             return false;
         };
--- a/crates/daemon/src/event_loop/mod.rs
+++ b/crates/daemon/src/event_loop/mod.rs
@@ -42,7 +42,7 @@
 use crankpaddle_time::Time;
 use durable_state::DurableState;
 use may::sync::mpsc::Receiver;
-use shutdown::Shutdown;
+use shutdown::ShutdownStage;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::mpsc::RecvTimeoutError;
 use std::sync::Arc;
@@ -52,7 +52,7 @@
 /// Time between two rounds of maintenance.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 /// Messages handled before timers are checked, so that a flood of messages can't delay answers that are due.
-const MESSAGE_BATCH: usize = 256;
+const MESSAGE_BATCH_SIZE: usize = 256;
 /// Time between two checks for the end of the shutdown. It is polled because a control that was sent or given up
 /// notifies the loop with no message.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -99,7 +99,7 @@
     /// Outputs of the core that were not performed yet.
     outputs: Vec<Output>,
     next_maintenance: Time,
-    shutdown: Shutdown,
+    shutdown: ShutdownStage,
 }
 
 impl EventLoop {
@@ -113,7 +113,7 @@
     ) -> EventLoop {
         let config = &shared.config;
         let seed = config.seed.unwrap_or_else(rand::random);
-        tracing::info!(seed, front = shared.names.front(), "front starting");
+        tracing::info!(seed, front = shared.names.front_name(), "front starting");
         let core = Core::new(
             config.settings.clone(),
             config.terms.clone(),
@@ -140,7 +140,7 @@
             durable: None,
             outputs: Vec::new(),
             next_maintenance: Time::MAX,
-            shutdown: Shutdown::Running,
+            shutdown: ShutdownStage::Running,
             shared,
         };
         if let Some(opened) = opened {
@@ -207,10 +207,14 @@
     /// Handles one batch of queued messages. After a stall of the process it handles all of them before any timer
     /// fires: an answer that arrived in time but was not read yet must not count as late.
     fn drain_inbox(&mut self, inbox: &Receiver<EventLoopMessage>) {
-        drain_queue(inbox, MESSAGE_BATCH, |message| self.handle_message(message));
+        drain_queue(inbox, MESSAGE_BATCH_SIZE, |message| {
+            self.handle_message(message);
+        });
         let has_stalled = drain_after_stall(self.core_deadline(), || {
-            let handled = drain_queue(inbox, MESSAGE_BATCH, |message| self.handle_message(message));
-            handled == MESSAGE_BATCH
+            let handled = drain_queue(inbox, MESSAGE_BATCH_SIZE, |message| {
+                self.handle_message(message);
+            });
+            handled == MESSAGE_BATCH_SIZE
         });
         if has_stalled {
             tracing::warn!("event loop stalled");
--- a/crates/daemon/src/event_loop/outputs.rs
+++ b/crates/daemon/src/event_loop/outputs.rs
@@ -134,7 +134,7 @@
             });
             return;
         };
-        let name = self.shared.names.attempt(*attempt);
+        let name = self.shared.names.attempt_name(*attempt);
         let body = self.set_up_body(order);
         let request = SetUpRequest {
             address: link.address,
@@ -171,7 +171,7 @@
         let config = &self.shared.config;
         let title = self.title_names.get(&order.title);
         sessions::SetUpBody {
-            front: self.shared.names.front().to_owned(),
+            front: self.shared.names.front_name().to_owned(),
             bill: order.key.clone(),
             title: title.cloned().unwrap_or_default(),
             class: name_at(&config.classes, usize::from(order.class)),
--- a/crates/daemon/src/event_loop/shutdown.rs
+++ b/crates/daemon/src/event_loop/shutdown.rs
@@ -9,9 +9,9 @@
 /// Longest time that stopping takes: players and servers get the last messages within it.
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The stage of the graceful shutdown.
+/// The progress of the graceful shutdown.
 #[derive(Clone, Copy)]
-pub(super) enum Shutdown {
+pub(super) enum ShutdownStage {
     Running,
     /// New requests are rejected; pending ones are answered until the deadline.
     Draining {
@@ -23,23 +23,23 @@
     },
 }
 
-impl Shutdown {
+impl ShutdownStage {
     pub(super) fn deadline(self) -> Time {
         match self {
-            Shutdown::Running => Time::MAX,
-            Shutdown::Draining { deadline } | Shutdown::Stopping { deadline } => deadline,
+            ShutdownStage::Running => Time::MAX,
+            ShutdownStage::Draining { deadline } | ShutdownStage::Stopping { deadline } => deadline,
         }
     }
 
     pub(super) fn is_stopping(self) -> bool {
-        matches!(self, Shutdown::Stopping { .. })
+        matches!(self, ShutdownStage::Stopping { .. })
     }
 }
 
 impl EventLoop {
     /// Handles [`crate::message::EventLoopMessage::DrainRequested`]; a second request changes nothing.
     pub(super) fn start_draining(&mut self) {
-        if !matches!(self.shutdown, Shutdown::Running) {
+        if !matches!(self.shutdown, ShutdownStage::Running) {
             return;
         }
         tracing::info!(
@@ -49,14 +49,14 @@
         );
         self.shared.start_draining();
         let deadline = clock::now() + self.shared.limits().drain;
-        self.shutdown = Shutdown::Draining { deadline };
+        self.shutdown = ShutdownStage::Draining { deadline };
         self.handle_core_input(Input::Drain);
     }
 
     /// Ends sessions and closes players' connections once all requests are answered or the drain's deadline
     /// has passed.
     pub(super) fn advance_shutdown(&mut self) {
-        let Shutdown::Draining { deadline } = self.shutdown else {
+        let ShutdownStage::Draining { deadline } = self.shutdown else {
             return;
         };
         let now = clock::now();
@@ -64,7 +64,7 @@
             return;
         }
         tracing::info!(playing = self.core.playing(), "stopping sessions");
-        self.shutdown = Shutdown::Stopping {
+        self.shutdown = ShutdownStage::Stopping {
             deadline: now + STOP_TIMEOUT,
         };
         self.handle_core_input(Input::Stop);
@@ -75,7 +75,7 @@
 
     /// Whether the shutdown is over: everything was sent, or the deadline has passed.
     pub(super) fn is_finished(&self) -> bool {
-        let Shutdown::Stopping { deadline } = self.shutdown else {
+        let ShutdownStage::Stopping { deadline } = self.shutdown else {
             return false;
         };
         let all_sent = self.players.is_empty() && !self.shared.has_pending_controls();
--- a/crates/daemon/src/inventory_client.rs
+++ b/crates/daemon/src/inventory_client.rs
@@ -23,7 +23,7 @@
 /// Fetches a server's inventory and sends the event loop the result, also if that failed.
 pub(crate) fn request_inventory(shared: Arc<Shared>, server: ServerId, address: SocketAddr) {
     spawn(Stack::Usual, move || {
-        let request = session_inventory::request(&address.to_string(), shared.names.front());
+        let request = session_inventory::request(&address.to_string(), shared.names.front_name());
         let response = exchange(&shared, &address, &request);
         let inventory = response.and_then(|response| read_inventory(&response, server));
         let message = match inventory {
--- a/crates/daemon/src/key_file/tests.rs
+++ b/crates/daemon/src/key_file/tests.rs
@@ -12,7 +12,7 @@
     };
     assert_eq!(
         read("000102030405060708090a0b0c0d0e0f\n").unwrap(),
-        std::array::from_fn(|i| i as u8)
+        std::array::from_fn(|index| index as u8)
     );
     for malformed in [
         "",
--- a/crates/daemon/src/list_service_client.rs
+++ b/crates/daemon/src/list_service_client.rs
@@ -112,7 +112,7 @@
     let silence_timeout = shared.limits().silence;
     socket.set_expiry(clock::now() + silence_timeout);
     shared.server_sweeper.watch(&socket);
-    let request = list::subscribe(&address.to_string(), shared.names.front());
+    let request = list::subscribe(&address.to_string(), shared.names.front_name());
     socket.write_all(&request).ok()?;
     let mut exchange = HttpExchange::new(socket);
     let head = exchange.response_head().ok()?;
--- a/crates/daemon/src/membership_runner.rs
+++ b/crates/daemon/src/membership_runner.rs
@@ -23,7 +23,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Most commands handled before timers are checked.
-const COMMAND_BATCH: usize = 64;
+const COMMAND_BATCH_SIZE: usize = 64;
 /// The pause after a failed read of the socket.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Size of the receive buffer; a peer's datagram is never longer.
@@ -195,7 +195,7 @@
             }
         }
         let mut commands = Vec::new();
-        drain_queue(inbox, COMMAND_BATCH, |command| commands.push(command));
+        drain_queue(inbox, COMMAND_BATCH_SIZE, |command| commands.push(command));
         for command in commands {
             self.handle_command(command)?;
         }
@@ -239,7 +239,7 @@
                 Output::MemberChanged(change) => self.member_changed(change),
                 Output::LocalHealthChanged(LocalHealth::Replaced) => {
                     tracing::error!(
-                        reason = "another process has this front's name among its peers",
+                        reason = "another process joined the fleet under this front's name",
                         "membership stopped"
                     );
                 }
--- a/crates/daemon/src/names.rs
+++ b/crates/daemon/src/names.rs
@@ -13,6 +13,7 @@
 /// whoever knows a session's name can fetch its media.
 pub(crate) struct AttemptNames {
     hash_key: RandomState,
+    /// The front's name at servers.
     front: String,
 }
 
@@ -27,12 +28,12 @@
 
     /// The front's name at servers, which selects the events that they send to it. Without a store it is valid for this
     /// incarnation only.
-    pub(crate) fn front(&self) -> &str {
+    pub(crate) fn front_name(&self) -> &str {
         &self.front
     }
 
     /// An attempt's name at its server.
-    pub(crate) fn attempt(&self, attempt: AttemptId) -> String {
+    pub(crate) fn attempt_name(&self, attempt: AttemptId) -> String {
         let hash = self.hash_key.hash_one(attempt.0);
         format!("{hash:016x}-{:x}", attempt.0)
     }
@@ -41,7 +42,7 @@
     pub(crate) fn attempt_of(&self, name: &str) -> Option<AttemptId> {
         let (_, digits) = name.split_once('-')?;
         let attempt = AttemptId(u64::from_str_radix(digits, 16).ok()?);
-        (self.attempt(attempt) == name).then_some(attempt)
+        (self.attempt_name(attempt) == name).then_some(attempt)
     }
 }
 
--- a/crates/daemon/src/server_link/stream.rs
+++ b/crates/daemon/src/server_link/stream.rs
@@ -42,7 +42,7 @@
         socket.set_expiry(clock::now() + silence_timeout);
         shared.server_sweeper.watch(&socket);
         self.set_stream_socket(&socket);
-        let request = event_stream::subscribe(&self.address.to_string(), shared.names.front());
+        let request = event_stream::subscribe(&self.address.to_string(), shared.names.front_name());
         let sent = socket.write_all(&request);
         sent.map_err(|_| StreamFailure::NoResponse)?;
         let mut exchange = HttpExchange::new(socket);
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -15,7 +15,7 @@
 use std::{fs, io};
 
 /// Most sessions settled in one step. It is bounded because the event loop handles no message during a step.
-const SESSIONS_PER_STEP: usize = 512;
+const MAX_SESSIONS_PER_STEP: usize = 512;
 /// Bytes in a kilobyte, the unit of rates in the traffic controller.
 const BYTES_PER_KB: f64 = 1000.0;
 
@@ -25,7 +25,7 @@
     pub controller: TrafficController,
     names: TrafficNames,
     /// This front's index in the fleet.
-    front: u32,
+    front_index: u32,
     /// The number of this front's zone.
     zone: u8,
     /// The number of each title's group, by the title's number.
@@ -126,7 +126,7 @@
         TrafficAccounting {
             controller,
             names,
-            front: config.settings.front_index,
+            front_index: config.settings.front_index,
             zone: config.settings.zone,
             groups_by_title: titles.map(|title| (title.number, title.group)).collect(),
             is_settling: false,
@@ -207,7 +207,7 @@
     pub(crate) fn settle_step(&mut self) -> bool {
         if self.is_settling {
             let now = clock::now();
-            self.is_settling = !self.controller.settle_usage(now, SESSIONS_PER_STEP);
+            self.is_settling = !self.controller.settle_usage(now, MAX_SESSIONS_PER_STEP);
         }
         self.is_settling
     }
@@ -216,7 +216,7 @@
     pub(crate) fn report(&mut self) -> String {
         let report = TrafficReport::of(
             &mut self.controller,
-            self.front,
+            self.front_index,
             self.zone,
             &self.names,
             clock::now(),
--- a/crates/daemon/src/websocket_handshake.rs
+++ b/crates/daemon/src/websocket_handshake.rs
@@ -63,7 +63,8 @@
     let key = keys.next()?;
     let is_single = keys.next().is_none();
     let digits = key.strip_suffix(KEY_PADDING)?;
-    let is_base64 = |c: char| c.is_ascii_alphanumeric() || c == '+' || c == '/';
+    let is_base64 =
+        |character: char| character.is_ascii_alphanumeric() || character == '+' || character == '/';
     let is_valid = key.len() == KEY_LENGTH && digits.chars().all(is_base64);
     (is_single && is_valid).then_some(key)
 }
--- a/crates/daemon/tests/edges/calls.rs
+++ b/crates/daemon/tests/edges/calls.rs
@@ -32,7 +32,7 @@
     ] {
         player.send(text);
         assert!(
-            matches!(player.receive(), ClientEvent::Error { code: c, .. } if c == code),
+            matches!(player.receive(), ClientEvent::Error { code: received, .. } if received == code),
             "{text}"
         );
     }
@@ -133,7 +133,7 @@
     });
     let ended = player.receive();
     assert!(
-        matches!(&ended, ClientEvent::End { session: s, .. } if Some(s) == session.as_ref()),
+        matches!(&ended, ClientEvent::End { session: ended_session, .. } if Some(ended_session) == session.as_ref()),
         "{ended:?}"
     );
 }
--- a/crates/daemon/tests/texts/mod.rs
+++ b/crates/daemon/tests/texts/mod.rs
@@ -16,7 +16,8 @@
         if index > 0 {
             masked.push('"');
         }
-        let is_in_number = |c: char| c.is_ascii_digit() || "+-.".contains(c);
+        let is_in_number =
+            |character: char| character.is_ascii_digit() || "+-.".contains(character);
         let mut rest = piece;
         while let (false, Some(start)) = (is_in_string, rest.find(is_in_number)) {
             let tail = &rest[start..];
