--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -183,7 +183,8 @@
             // Joined so that everything is on disk before the process ends. A panic was already reported.
             let _ = writer.join();
         }
-        // Coroutines poll this flag. The listener waits for connections, so one is made to wake it.
+        // `Release` publishes the flag to the coroutines that poll it. The listener waits for connections, so one is made
+        // to wake it.
         self.is_stopped.store(true, Ordering::Release);
         let _ = TcpStream::connect(self.address);
     }
--- a/crates/daemon/tests/edges/server_starts.rs
+++ b/crates/daemon/tests/edges/server_starts.rs
@@ -77,8 +77,7 @@
             .all(|server| server.listeners() > 0)
     });
     let mut player = harness.connect_player();
-    // The request is either established, which puts load on a server, or finds no admission slot, which shows that the
-    // front knows of the starts.
+    // It is established, which loads a server, or rejected for lack of a slot, which shows that the starts are known.
     player.open_and_wait("first-alone", FREE);
     let calls = 40;
     let mut answers = 0;
