--- a/crates/daemon/src/event_loop/shutdown.rs
+++ b/crates/daemon/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: draining, stopping, and the end of the loop.
+//! Graceful shutdown: draining, stopping sessions, and the end of the event loop.
 use super::EventLoop;
 use crankpaddle_front::Input;
 use crankpaddle_net::clock;
@@ -6,40 +6,40 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// While stopping, players and servers get this long to receive what is still sent.
+/// Longest time that stopping takes: players and servers get the last messages within it.
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The stage of the graceful shutdown.
+/// The progress of the graceful shutdown.
 #[derive(Clone, Copy)]
-pub(super) enum Shutdown {
+pub(super) enum ShutdownStage {
     Running,
-    /// Nothing new is taken; requests are answered until the deadline.
+    /// New requests are rejected; pending ones are answered until the deadline.
     Draining {
         deadline: Time,
     },
-    /// Sessions were ended; connections are closed until the deadline.
+    /// Sessions were ended; teardowns are sent and players' connections closed until the deadline.
     Stopping {
         deadline: Time,
     },
 }
 
-impl Shutdown {
+impl ShutdownStage {
     pub(super) fn deadline(self) -> Time {
         match self {
-            Shutdown::Running => Time::MAX,
-            Shutdown::Draining { deadline } | Shutdown::Stopping { deadline } => deadline,
+            ShutdownStage::Running => Time::MAX,
+            ShutdownStage::Draining { deadline } | ShutdownStage::Stopping { deadline } => deadline,
         }
     }
 
     pub(super) fn is_stopping(self) -> bool {
-        matches!(self, Shutdown::Stopping { .. })
+        matches!(self, ShutdownStage::Stopping { .. })
     }
 }
 
 impl EventLoop {
-    /// Handles [`crate::message::Message::DrainRequested`]; a second request changes nothing.
+    /// Handles [`crate::message::EventLoopMessage::DrainRequested`]; a second request changes nothing.
     pub(super) fn start_draining(&mut self) {
-        if !matches!(self.shutdown, Shutdown::Running) {
+        if !matches!(self.shutdown, ShutdownStage::Running) {
             return;
         }
         tracing::info!(
@@ -49,14 +49,14 @@
         );
         self.shared.start_draining();
         let deadline = clock::now() + self.shared.limits().drain;
-        self.shutdown = Shutdown::Draining { deadline };
+        self.shutdown = ShutdownStage::Draining { deadline };
         self.handle_core_input(Input::Drain);
     }
 
     /// Ends sessions and closes players' connections once all requests are answered or the drain's deadline
     /// has passed.
     pub(super) fn advance_shutdown(&mut self) {
-        let Shutdown::Draining { deadline } = self.shutdown else {
+        let ShutdownStage::Draining { deadline } = self.shutdown else {
             return;
         };
         let now = clock::now();
@@ -64,7 +64,7 @@
             return;
         }
         tracing::info!(playing = self.core.playing(), "stopping sessions");
-        self.shutdown = Shutdown::Stopping {
+        self.shutdown = ShutdownStage::Stopping {
             deadline: now + STOP_TIMEOUT,
         };
         self.handle_core_input(Input::Stop);
@@ -73,19 +73,20 @@
         }
     }
 
-    /// Whether the front has stopped: all is sent, or there was time enough.
+    /// Whether the shutdown is over: everything was sent, or the deadline has passed.
     pub(super) fn is_finished(&self) -> bool {
-        let Shutdown::Stopping { deadline } = self.shutdown else {
+        let ShutdownStage::Stopping { deadline } = self.shutdown else {
             return false;
         };
         let all_sent = self.players.is_empty() && !self.shared.has_pending_controls();
         all_sent || clock::now() >= deadline
     }
 
-    /// Writes what shall be on disk at the end; returns the threads that write it.
+    /// Queues the last writes to disk and returns the threads that perform them. The shutdown is recorded as clean if
+    /// no request and no session is left.
     pub(super) fn finish(mut self) -> Vec<JoinHandle<()>> {
         while self.traffic.settle_step() {}
-        self.save_traffic_account();
+        self.save_traffic_report();
         tracing::info!("front stopped");
         let is_clean = self.core.waiting() == 0 && self.core.playing() == 0;
         let store_thread = self.durable.and_then(|durable| durable.finish(is_clean));
