--- a/crates/node/src/connection_table.rs
+++ b/crates/node/src/connection_table.rs
@@ -1,4 +1,4 @@
-//! All viewers' connections, and which of them is closed when there are too many.
+//! The table of viewers' connections, and the choice of one to close when there are too many.
 use crate::viewer_connection::{ConnectionId, UnreadInput, ViewerConnection};
 use crankpaddle_net::{clock, CloseReason};
 use crankpaddle_time::Time;
@@ -6,10 +6,13 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// All viewers' connections.
+/// The table of viewers' connections.
+///
+/// A slot stands for one connection that may be open. It is acquired before a connection is accepted, and released after the
+/// connection is closed, so there may be more slots in use than connections in the table.
 pub(crate) struct ConnectionTable {
     max_connections: usize,
-    /// Whether there was no free slot when one was last wanted.
+    /// Whether there was no free slot when one was last requested.
     is_full: AtomicBool,
     slots_in_use: AtomicUsize,
     last_id: AtomicU64,
@@ -37,7 +40,7 @@
         self.connections().len()
     }
 
-    /// An id that no connection had.
+    /// A new connection id, which no other connection has had.
     pub(crate) fn next_id(&self) -> ConnectionId {
         ConnectionId(self.last_id.fetch_add(1, Ordering::Relaxed) + 1)
     }
@@ -50,12 +53,13 @@
         self.connections().remove(&id);
     }
 
-    /// Takes the slot of one more connection; false if none is free, and then the connection of least use is closed, so that one
-    /// soon is. [`ConnectionTable::release_slot`] is due in both cases.
+    /// Acquires a slot for one more connection; false if none is free. In that case the least used connection is closed, so
+    /// that a slot becomes free soon. The caller must call [`ConnectionTable::release_slot`] in both cases.
     ///
-    /// Why none is closed while an accepted connection is not in the table yet: its coroutine has not run, and it is of less use
-    /// than any that has sent something. On a busy machine a hundred silent clients were accepted before the first of them was
-    /// in the table; the only connection in it, one with a session, was closed.
+    /// No connection is closed while an accepted one is not in the table yet. The coroutine of such a connection has not run,
+    /// and the connection is less used than any that has sent something. Without this rule, a hundred silent clients were
+    /// accepted on a busy machine before the first of them was in the table, and the only connection in the table, which had a
+    /// session, was closed.
     pub(crate) fn acquire_slot(&self) -> bool {
         let in_use = self.slots_in_use.fetch_add(1, Ordering::AcqRel);
         let has_capacity = in_use < self.max_connections;
@@ -70,12 +74,13 @@
         self.slots_in_use.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// All connections.
+    /// A copy of the list of all connections, in the order of their ids.
     pub(crate) fn all(&self) -> Vec<Arc<ViewerConnection>> {
         self.connections().values().cloned().collect()
     }
 
-    /// Whether anything is pending on any connection, or may be on those that wait to be accepted where no slot is free.
+    /// Whether anything is pending on any connection. While no slot is free and `unread` is [`UnreadInput::Include`] this is
+    /// always true, because connections in the listener's queue may have input.
     pub(crate) fn has_pending_work(&self, now: Time, unread: UnreadInput) -> bool {
         if unread == UnreadInput::Include && self.is_full.load(Ordering::Acquire) {
             return true;
@@ -85,15 +90,16 @@
             .any(|connection| connection.has_pending_work(now, unread))
     }
 
-    /// Closes the connection of least use.
+    /// Closes the least used connection on which nothing is pending, unless a closed connection is still in the table.
     ///
-    /// Why: hundreds of clients that connect and send nothing would take the descriptors that servers need, and keep honest
-    /// viewers out. And a closed connection frees its slot only when its coroutine has run: called again before that, as on a
-    /// busy machine each millisecond, this would close one after the other until it comes to those in use (seen as a viewer with a
-    /// session that was closed among hundreds of silent clients). So one is closed at a time. The price: among many silent
-    /// clients an honest connection that has not sent anything yet may be closed; the oldest of them is. A set-up that crosses
-    /// the close of a connection is retried by its viewer, so one that was idle for long is closed before one that was just
-    /// used.
+    /// Without such closes, hundreds of clients that connect and send nothing would hold the descriptors that servers need, and
+    /// keep honest viewers out. Only one connection is closed at a time, because a closed connection frees its slot only after
+    /// its coroutine has run. On a busy machine this is called each millisecond before that, and would close one connection
+    /// after the other, including those in use: a viewer with a session was closed among hundreds of silent clients.
+    ///
+    /// Connections that have sent no message are closed first, the oldest of them before the others, so an honest connection
+    /// that has not sent anything yet may be closed among many silent ones. A set-up that crosses the close of a connection is
+    /// retried by its viewer, so a connection that was idle for long is closed before one that was just used.
     fn close_least_used(&self) {
         let connections = self.connections();
         if connections.values().any(|connection| !connection.is_open()) {
--- a/crates/node/src/directory_poller.rs
+++ b/crates/node/src/directory_poller.rs
@@ -1,4 +1,4 @@
-//! The directory: polled again and again on a thread of its own, which only waits.
+//! Polls the directory for its list of servers, on a thread of its own that may block.
 use crate::shared::{InboxMessage, Shared};
 use crankpaddle_node_protocol::directory::{
     message_id, parse_response, query, List, MAX_RESPONSE_BYTES,
@@ -10,29 +10,29 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between a response and the next query. A change has to be known after 1.5 s at the latest.
+/// Time between a response and the next query. A node has to learn of a change within 1.5 s.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Without a response the next query is sent after this time.
+/// Time without a response after which the next query is sent.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// A response that takes longer is dropped: its list may be long out of date.
+/// Responses that take longer than this are dropped, because their lists may be long out of date.
 const MAX_RESPONSE_AGE: Duration = Duration::from_secs(4);
-/// Responses with a lower serial in a row after which an error is logged.
-const STALE_RESPONSES_LOGGED: u32 = 20;
-/// The thread's stack, bytes.
-const STACK_SIZE: usize = 128 * 1024;
+/// Number of consecutive responses with a lower serial after which an error is logged.
+const STALE_RESPONSES_BEFORE_ERROR: u32 = 20;
+/// Size of the thread's stack.
+const STACK_BYTES: usize = 128 * 1024;
 
 /// Polls the directory until `stopped` is set.
 ///
 /// # Errors
-/// No socket can be had, or the thread can't be started.
+/// The socket can't be opened, or the thread can't be started.
 pub(crate) fn start(shared: Arc<Shared>, stopped: Arc<AtomicBool>) -> io::Result<()> {
-    // Why: opening a socket when the directory's address changes could fail, as silent clients may hold all descriptors then.
-    // This one is bound at the start, to the node's own address, and connected to each directory in turn; the kernel
-    // passes on only that directory's datagrams.
+    // One socket is opened at the start and connected to each directory in turn, because opening a socket when the directory's
+    // address changes could fail: silent clients may hold all descriptors then. It is bound to the node's own address. The
+    // kernel passes on only datagrams from the directory that it is connected to.
     let socket = UdpSocket::bind(SocketAddr::new(shared.config.listen.ip(), 0))?;
     let thread = std::thread::Builder::new()
         .name("directory".into())
-        .stack_size(STACK_SIZE);
+        .stack_size(STACK_BYTES);
     thread.spawn(move || poll_until_stopped(socket, &shared, &stopped))?;
     Ok(())
 }
@@ -60,22 +60,22 @@
     }
 }
 
-/// The list in force.
+/// The last list that was passed to the event loop.
 struct CurrentList {
     list: List,
-    /// Responses in a row that had a lower serial.
+    /// Number of consecutive responses that had a lower serial.
     stale_responses: u32,
 }
 
 impl CurrentList {
-    /// Takes a received list over; the list, if it differs from the one in force.
+    /// Replaces the list by a received one, unless that has a lower serial. Returns the new list if it differs.
     ///
-    /// Why: an old response would list servers that have been removed. All directories of a fleet count the same serials, so a
-    /// list with a lower serial is ignored, whichever directory sends it. The cost: a directory that restarts its serials is
+    /// An old response would list servers that have been removed. All directories of a fleet use the same serials, so a list
+    /// with a lower serial is ignored, whichever directory sends it. The drawback: a directory that restarts its serials is
     /// ignored until the node restarts, which is logged.
     fn update(&mut self, received: List) -> Option<List> {
         if received.is_older_than(&self.list) {
-            self.note_stale_response(&received);
+            self.count_stale_response(&received);
             return None;
         }
         self.stale_responses = 0;
@@ -86,9 +86,9 @@
         Some(received)
     }
 
-    fn note_stale_response(&mut self, received: &List) {
+    fn count_stale_response(&mut self, received: &List) {
         self.stale_responses += 1;
-        if self.stale_responses == STALE_RESPONSES_LOGGED {
+        if self.stale_responses == STALE_RESPONSES_BEFORE_ERROR {
             tracing::error!(
                 received_serial = received.serial,
                 current_serial = self.list.serial,
@@ -98,13 +98,13 @@
     }
 }
 
-/// A query that may still get a response.
+/// A query whose response may still be received.
 struct OutstandingQuery {
     id: u16,
     sent_at: Instant,
 }
 
-/// Queries to one directory, any of which may still get its response.
+/// The socket for queries to the current directory, and the outstanding queries.
 struct QuerySocket {
     socket: UdpSocket,
     directory: Option<SocketAddr>,
@@ -112,7 +112,7 @@
 }
 
 impl QuerySocket {
-    /// Polls this directory from now on; responses of the previous one are ignored.
+    /// Sends queries to this directory from now on. Responses of the previous one are ignored.
     fn connect(&mut self, directory: SocketAddr) {
         if self.directory == Some(directory) {
             return;
@@ -151,25 +151,26 @@
         }
     }
 
-    /// The response to any of the queries, within the time to the next.
+    /// Waits up to [`RESPONSE_TIMEOUT`] for a response to any outstanding query, and returns its list.
     ///
-    /// Why: if only the latest query counted, no response of a directory that takes longer than that would ever be used. A
-    /// response may be as old as [`MAX_RESPONSE_AGE`]: a newer list has a higher serial and replaces it.
+    /// If only the latest query counted, no response of a directory that takes longer than the timeout would ever be used. A
+    /// response may be as old as [`MAX_RESPONSE_AGE`], since a newer list has a higher serial and replaces it.
     fn receive_list(&mut self) -> Option<List> {
         let deadline = Instant::now() + RESPONSE_TIMEOUT;
         let mut bytes = [0u8; MAX_RESPONSE_BYTES];
         loop {
-            let left = deadline
+            let remaining = deadline
                 .checked_duration_since(Instant::now())
-                .filter(|left| !left.is_zero())?;
-            match self.receive(&mut bytes, left) {
+                .filter(|remaining| !remaining.is_zero())?;
+            match self.receive(&mut bytes, remaining) {
                 Ok(length) => {
                     if let Some(list) = self.read_response(&bytes[..length]) {
                         return Some(list);
                     }
                 }
                 Err(error) if is_timeout(&error) => return None,
-                Err(_) => std::thread::sleep(left), // No process listens there, or the machine can't send.
+                // No process listens there, or this machine can't send.
+                Err(_) => std::thread::sleep(remaining),
             }
         }
     }
@@ -191,7 +192,7 @@
                 self.outstanding.remove(position);
                 Some(list)
             }
-            // The query stays outstanding: a usable response to it may still come.
+            // The query stays outstanding, because a usable response to it may still arrive.
             Err(error) => {
                 tracing::debug!(reason = %error, "unusable directory response");
                 None
--- a/crates/node/src/event_loop/attempt_dispatch.rs
+++ b/crates/node/src/event_loop/attempt_dispatch.rs
@@ -1,9 +1,9 @@
-//! Sending a set-up to its server: it is checked once more, assigned a link, and written.
+//! Dispatch of set-ups: each attempt is checked once more, assigned a link, and written to it.
 //!
-//! An attempt enters the dispatch queue when the core starts it, and again when the link that it waits for is up. Attempts are
-//! dispatched after the core has decided on all that was received. Right before that, each is checked: whether its viewer
-//! still waits, as far as the kernel knows, and whether the core still allows it.
-use super::attempt::{Attempt, AttemptState};
+//! An attempt enters the dispatch queue when the core starts it, and again when the link that it waits for is connected.
+//! Attempts are dispatched after the core has decided on all messages that were received. Right before that, each attempt is
+//! checked: its viewer must still be waiting, as far as the kernel knows, and the core must still allow the attempt.
+use super::attempt::{AttemptRecord, AttemptState};
 use super::wire_time::to_milliseconds;
 use super::EventLoop;
 use crate::shared::LinkId;
@@ -18,27 +18,28 @@
 /// An attempt in the dispatch queue.
 pub(super) struct QueuedAttempt {
     attempt: AttemptId,
-    /// The link that came up for it.
+    /// The link that was opened for it, if that is connected.
     link: Option<LinkId>,
-    /// Since when it could be dispatched.
+    /// When it was queued.
     ready_since: Time,
 }
 
-/// A set-up is deferred for this time while its viewer's connection has unread input, which may contain the cancel.
+/// How long a set-up is deferred while its viewer's connection has unread input, which may contain the cancel.
 const MAX_DEFERRAL: Duration = Duration::from_millis(50);
-/// After that it is sent while some input is unread only if all that arrived earlier than this was handled: a set-up must not
-/// begin later than a tenth of a second after its viewer has left.
+/// Maximum age of unread input with which a set-up is sent after [`MAX_DEFERRAL`]. Both periods together keep a set-up from
+/// being sent more than a tenth of a second after its viewer has left.
 const MAX_INPUT_AGE: Duration = Duration::from_millis(50);
-/// Time after which deferred set-ups are checked again; meanwhile all sockets are read.
+/// Interval at which deferred set-ups are checked again. All sockets are read in between.
 pub(super) const RECHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// How often a link is searched for one set-up of which nothing was written.
+/// How often a link is looked for on behalf of one set-up of which nothing was written.
 const MAX_CONNECT_ATTEMPTS: u32 = 2;
-/// Most links to one server. Up to that each set-up in progress has a link of its own; further ones share links.
+/// Maximum number of links to one server. Each set-up in progress has a link of its own up to this number; further set-ups
+/// share links.
 const MAX_LINKS_PER_SERVER: usize = 8;
-/// Most descriptors of links that are being closed, in addition to the budget.
+/// Descriptors that links being closed may hold in addition to the budget.
 const MAX_CLOSING_LINKS: usize = 8;
 
-/// What is done with an attempt in the dispatch queue.
+/// What to do with an attempt in the dispatch queue.
 enum DispatchDecision {
     Dispatch,
     Defer,
@@ -62,15 +63,15 @@
         if !self.sessions.contains_key(&player) {
             return;
         }
-        let Some(at) = self.servers.get_mut(&server) else {
+        let Some(server_record) = self.servers.get_mut(&server) else {
             return self.notify_core(Input::SetUpCompleted(
                 attempt,
                 SetUpResult::Ended(AttemptOutcome::NotSent, LoadReport::new()),
             ));
         };
-        at.attempts.insert(session_id, attempt);
-        at.abandoned.remove(&session_id);
-        let record = Attempt {
+        server_record.attempts.insert(session_id, attempt);
+        server_record.abandoned.remove(&session_id);
+        let record = AttemptRecord {
             player,
             session_id,
             server,
@@ -83,7 +84,7 @@
         self.queue_for_dispatch(attempt, None);
     }
 
-    /// Queues an attempt; it is dispatched on `link` if that is usable.
+    /// Adds an attempt to the dispatch queue. It is dispatched on `link` if that is usable then.
     pub(super) fn queue_for_dispatch(&mut self, id: AttemptId, link: Option<LinkId>) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.state = AttemptState::Queued;
@@ -95,19 +96,19 @@
         });
     }
 
-    /// Goes through the queue once and dispatches the attempts that are ready.
+    /// Goes through the dispatch queue once and dispatches the attempts that are ready.
     ///
-    /// Why each is checked again: between the decision and the first byte, its viewer may close or cancel, its server may drain
-    /// or restart, or its admission slot at a server that warms up may pass. A connect takes up to a second, and so do decisions
-    /// on a flood of requests on a small share of a core. A set-up of which nothing was written has not run, so it can be
-    /// withdrawn without effect. A cancel that is still on the network is not noticed.
+    /// Each attempt is checked again, because between the decision and the first byte its viewer may close or cancel, its
+    /// server may drain or restart, or its admission slot at a server in slow start may pass. A connect takes up to a second,
+    /// and so do decisions on a flood of requests where the node has a small share of a core. A set-up of which nothing was
+    /// written has not run, so it can be withdrawn without effect. A cancel that is still on the network is not noticed.
     pub(super) fn dispatch_queued(&mut self) {
         for _ in 0..self.dispatch_queue.len() {
             let Some(queued) = self.dispatch_queue.pop_front() else {
                 return;
             };
             match self.dispatch_decision(&queued) {
-                None => {} // It was abandoned.
+                None => {} // The attempt was abandoned, or sent already.
                 Some(DispatchDecision::Dispatch) => self.dispatch(queued.attempt, queued.link),
                 Some(DispatchDecision::Defer) => self.dispatch_queue.push_back(queued),
                 Some(DispatchDecision::Withdraw) => self.withdraw(queued.attempt),
@@ -136,9 +137,9 @@
         let Some(connection) =
             session.and_then(|session| self.connections.get(&session.connection))
         else {
-            return Some(DispatchDecision::Withdraw); // Nobody waits for it.
+            return Some(DispatchDecision::Withdraw); // No viewer waits for its answer.
         };
-        // What was read and not handled may be the cancel, however long ago it was read.
+        // A message that was read and not yet handled may be the cancel, however long ago it was read.
         if connection.queued_messages.load(Ordering::Acquire) > 0 {
             return Some(DispatchDecision::Defer);
         }
@@ -146,16 +147,16 @@
         let is_input_recent = now < connection.outbox.drained_at() + MAX_INPUT_AGE;
         Some(match connection.outbox.socket().peer_state() {
             Peer::Quiet => DispatchDecision::Dispatch,
-            Peer::Ended => DispatchDecision::Defer, // Its reader is about to find that it ended.
+            Peer::Ended => DispatchDecision::Defer, // Its reader is about to report the end.
             Peer::Unread if is_deferred_for_long && is_input_recent => DispatchDecision::Dispatch,
             Peer::Unread => DispatchDecision::Defer,
         })
     }
 
-    /// Finds a link for a set-up of which nothing was written yet.
+    /// Finds a link for a set-up of which nothing was written, and writes the set-up or waits for the link to connect.
     ///
-    /// Why the search is retried once: a new connection may be reset at once, and the server would be taken for one that can't be
-    /// connected to.
+    /// A link is looked for a second time, because a new connection may be reset at once, and the server would then be
+    /// considered unreachable.
     fn dispatch(&mut self, id: AttemptId, preferred: Option<LinkId>) {
         if preferred.is_some_and(|link| self.write_set_up(id, link)) {
             return;
@@ -181,8 +182,8 @@
         self.complete_set_up(attempt, AttemptOutcome::ConnectFailed, LoadReport::new());
     }
 
-    /// Writes a set-up on the server's most recently used free link, if it has one. Each set-up has a link of its own while there
-    /// are enough, so that a malformed response fails no other set-up.
+    /// Writes a set-up on the server's most recently used link without pending attempts, if there is one. Set-ups have links of
+    /// their own while there are enough, so that a malformed response fails no other set-up.
     fn dispatch_on_free_link(&mut self, id: AttemptId, server: ServerId) -> bool {
         while let Some(link) =
             self.find_link(server, |link| link.is_usable() && link.pending.is_empty())
@@ -195,7 +196,8 @@
         false
     }
 
-    /// Opens another link to a server, if there is capacity. For a server without any link, an idle link is closed if needed.
+    /// Opens another link to a server if there is capacity. For a server without any link, an idle link of another server is
+    /// closed if needed.
     fn open_link_for_set_up(&mut self, server: ServerId) -> Option<LinkId> {
         let links = self
             .servers
@@ -208,11 +210,11 @@
         None
     }
 
-    /// Puts a set-up on the link with the fewest others, one that is up before one that is connecting.
+    /// Assigns a set-up to the link with the fewest pending attempts, preferring connected links to connecting ones.
     ///
-    /// Why links that are connecting count: if all are, a server that is only slow to accept would be taken for one that can't be
-    /// connected to. A link whose earlier bytes the server has not read gets no further set-up: it would begin only when the
-    /// server reads again, and its viewer may have left by then.
+    /// Connecting links are used as well: if all links are connecting, a server that is only slow to accept would otherwise be
+    /// considered unreachable. A link whose earlier bytes the server has not read gets no further set-up, as the set-up would
+    /// begin only when the server reads again, and its viewer may have left by then.
     fn dispatch_on_shared_link(&mut self, id: AttemptId, server: ServerId) {
         let Some(link) = self.least_loaded_link(server) else {
             return self.connect_failed(id);
@@ -220,7 +222,7 @@
         if self
             .links
             .get(&link)
-            .is_some_and(super::Link::is_connecting)
+            .is_some_and(super::LinkRecord::is_connecting)
         {
             self.await_link(id, link);
         } else if !self.write_set_up(id, link) {
@@ -239,17 +241,18 @@
             .map(|(id, _)| id)
     }
 
-    /// Whether another link may be opened. Links that are being closed count by their descriptors.
+    /// Whether another link may be opened.
     ///
-    /// Why: a cancelled connect keeps its descriptor until it times out. When a list replaces many servers at once, uncounted
-    /// ones would use up the descriptors of viewers.
+    /// The descriptors of links that are being closed are limited too, because a cancelled connect keeps its descriptor until
+    /// it times out. When an endpoint list replaces many servers at once, such descriptors would otherwise use up those
+    /// reserved for viewers.
     pub(super) fn has_link_capacity(&self) -> bool {
-        let descriptors = self.shared.links.load(Ordering::Relaxed);
-        let budget = self.shared.budget.links;
+        let descriptors = self.shared.link_descriptors.load(Ordering::Relaxed);
+        let budget = self.shared.budget.max_links;
         self.links.len() < budget && descriptors < budget + MAX_CLOSING_LINKS
     }
 
-    /// The set-up is written when this link comes up.
+    /// Makes an attempt wait for a link to connect; its set-up is written then.
     fn await_link(&mut self, id: AttemptId, link_id: LinkId) {
         if let Some(link) = self.links.get_mut(&link_id) {
             link.pending.push(id);
@@ -259,7 +262,7 @@
         }
     }
 
-    /// Writes an attempt's set-up; false if not a byte of it was sent.
+    /// Writes an attempt's set-up to a link; false if not a single byte of it was sent.
     fn write_set_up(&mut self, id: AttemptId, link_id: LinkId) -> bool {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return false;
@@ -282,7 +285,7 @@
             rung: attempt.rung,
             blob: session.description(),
         });
-        // Why: once a byte was written to a connection that just closed, the set-up may have run.
+        // All conditions are checked before the first byte is written: after that, the set-up may have run.
         if !link.is_usable() || !outbox.socket().is_open() || !outbox.push(&message) {
             return false;
         }
--- a/crates/node/src/event_loop/attempt_lifecycle.rs
+++ b/crates/node/src/event_loop/attempt_lifecycle.rs
@@ -1,5 +1,5 @@
-//! The end of attempts, and sessions that are adopted.
-use super::attempt::{Attempt, AttemptState};
+//! Completion and abandonment of attempts, and adoption of sessions.
+use super::attempt::{AttemptRecord, AttemptState};
 use super::server_releases::ServerRelease;
 use super::EventLoop;
 use crate::shared::LinkId;
@@ -11,11 +11,11 @@
 use crankpaddle_node_protocol::viewers::cause;
 use std::time::Duration;
 
-/// How long after a set-up was abandoned its session is still released if the server accepts it late.
-const LATE_ANSWER_PERIOD: Duration = Duration::from_secs(10);
+/// If a server accepts a set-up within this time after it was abandoned, the session is released.
+const LATE_ACCEPTANCE_PERIOD: Duration = Duration::from_secs(10);
 
 impl EventLoop {
-    /// Ends an attempt that has no answer: no session was established.
+    /// Ends an attempt that established no session, and reports its outcome to the core.
     pub(super) fn complete_set_up(
         &mut self,
         attempt: AttemptId,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Removes an attempt from all tables.
-    pub(super) fn remove_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
+    /// Removes an attempt from all tables and returns its record.
+    pub(super) fn remove_attempt(&mut self, id: AttemptId) -> Option<AttemptRecord> {
         let attempt = self.attempts.remove(&id)?;
         let is_established = attempt.state.is_established();
         tracing::debug!(session_id = %attempt.session_id, attempt_id = id.0, server_id = attempt.server.0, established = is_established, "attempt ended");
@@ -49,7 +49,9 @@
         Some(attempt)
     }
 
-    /// Abandons an attempt. Its server may still answer it.
+    /// Abandons an attempt: releases its session if it is established, and cancels its set-up if that was sent.
+    ///
+    /// The server may still accept a cancelled set-up; the session is then released.
     pub(super) fn abandon_attempt(&mut self, id: AttemptId, server: ServerId) {
         let Some(attempt) = self.remove_attempt(id) else {
             return;
@@ -62,42 +64,43 @@
                 let release = ServerRelease::new(server, session_id, cause::CANCELLED);
                 self.release_at_server(link, release);
             }
-            AttemptState::Sent { link, .. } if self.holds_only_unsent(link) => {
+            AttemptState::Sent { link, .. } if self.is_safe_to_reset(link) => {
                 self.reset_link(link);
             }
             AttemptState::Sent { link, sent_at } => {
                 let now = clock::now();
-                if let Some(at) = self.servers.get_mut(&server) {
-                    let expires_at = now + LATE_ANSWER_PERIOD;
-                    at.abandoned.insert(session_id, expires_at);
+                if let Some(server_record) = self.servers.get_mut(&server) {
+                    let expires_at = now + LATE_ACCEPTANCE_PERIOD;
+                    server_record.abandoned.insert(session_id, expires_at);
                 }
-                self.note_silence(link, sent_at, now);
+                self.mark_if_unresponsive(link, sent_at, now);
                 self.send_to_server(server, Some(link), rtsp::cancel(session_id));
             }
         }
     }
 
-    /// Whether no attempt waits for an answer on a link and some of what was written to it has not been sent.
+    /// Whether a link has unsent bytes and no attempt waits for an answer on it, so that resetting it fails no other set-up.
     ///
-    /// Why: if the server does not read, an unsent set-up would begin when it reads again, long after its viewer has left.
-    /// Closing the connection cancels all that is in progress on it, so a close replaces the cancel. If other attempts wait on
+    /// If the server does not read, an unsent set-up would begin when it reads again, long after its viewer has left. Closing
+    /// the connection cancels everything that is in progress on it, so the close replaces the cancel. If other attempts wait on
     /// the same link, it stays open.
-    fn holds_only_unsent(&self, link: LinkId) -> bool {
+    fn is_safe_to_reset(&self, link: LinkId) -> bool {
         self.links
             .get(&link)
             .is_some_and(|link| link.pending.is_empty() && link.has_unsent())
     }
 
-    /// Drops what a link has not sent, and closes it.
+    /// Discards the unsent bytes of a link and closes it.
     fn reset_link(&mut self, id: LinkId) {
-        if let Some(outbox) = self.links.get(&id).and_then(super::Link::outbox) {
+        if let Some(outbox) = self.links.get(&id).and_then(super::LinkRecord::outbox) {
             outbox.socket().reset(CloseReason::Unresponsive);
         }
         self.close_link(id, CloseReason::Unresponsive);
     }
 
-    /// Marks a link as unresponsive if nothing came on it since an attempt was sent, for longer than a connect may take.
-    fn note_silence(&mut self, id: LinkId, sent_at: Time, now: Time) {
+    /// Marks a link as unresponsive if nothing was received on it since an attempt was sent at `sent_at`, and that is longer
+    /// ago than the connect timeout.
+    fn mark_if_unresponsive(&mut self, id: LinkId, sent_at: Time, now: Time) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
@@ -107,19 +110,19 @@
         }
     }
 
-    /// Records a session that plays at a server already.
+    /// Adds the attempt of an adopted session, which plays at a server already, to the tables.
     pub(super) fn adopt(&mut self, player: PlayerId, attempt: AttemptId, server: ServerId) {
         let now = clock::now();
         let Some(session_id) = self.sessions.get(&player).map(|session| session.session_id) else {
             return;
         };
-        let Some(at) = self.servers.get_mut(&server) else {
+        let Some(server_record) = self.servers.get_mut(&server) else {
             return;
         };
-        at.attempts.insert(session_id, attempt);
-        at.established += 1;
-        at.health.session_established(now);
-        let record = Attempt {
+        server_record.attempts.insert(session_id, attempt);
+        server_record.established += 1;
+        server_record.health.session_established(now);
+        let record = AttemptRecord {
             player,
             session_id,
             server,
--- a/crates/node/src/event_loop/client_notifications.rs
+++ b/crates/node/src/event_loop/client_notifications.rs
@@ -1,6 +1,6 @@
-//! What viewers are sent: answers to their set-ups, and the end of their sessions.
+//! Messages to viewers: answers to their set-ups, and notifications that their sessions have ended.
 use super::client_requests::retry_after_ms;
-use super::delivery::{Certainty, Delivery};
+use super::delivery::{Certainty, DeliveryStatus};
 use super::session::RemovalReason;
 use super::{ConnectionId, EventLoop, UnsentMessage, RELEASE_RETRY_PERIOD};
 use crankpaddle_front::{Answer, Notification, PlayerId, RejectReason, SessionEndReason};
@@ -9,7 +9,7 @@
 use crankpaddle_node_protocol::Tag;
 
 impl EventLoop {
-    /// Sends to a viewer's connection; false if it is closed.
+    /// Sends a message on a viewer's connection; false if the connection is closed or its buffer can't take the message.
     pub(super) fn send_to_viewer(&self, connection: ConnectionId, bytes: &[u8]) -> bool {
         let is_accepted = self
             .connections
@@ -18,7 +18,7 @@
         if !is_accepted {
             tracing::debug!(
                 connection_id = connection.0,
-                "viewer connection took no message"
+                "message not accepted by viewer connection"
             );
         }
         is_accepted
@@ -45,7 +45,7 @@
                 );
             }
             Answer::Failed(_) => self.send_finish(player, cause::CUT, None),
-            // No viewer resumes or closes a session by its key here.
+            // Viewers of this node do not resume or close sessions by their key, so these answers do not occur.
             Answer::Superseded | Answer::Closed | Answer::UnknownSession => {}
         }
     }
@@ -89,7 +89,7 @@
         self.send_notification(session.connection, message);
     }
 
-    /// Sends the end of a session on its connection or on another.
+    /// Sends a notification on the session's own connection or, if that is closed, on another.
     fn send_notification(&mut self, connection: ConnectionId, bytes: Vec<u8>) {
         let expires_at = clock::now() + RELEASE_RETRY_PERIOD;
         if let Some(connection) = self.connections.get(&connection) {
@@ -102,19 +102,19 @@
         self.send_on_other_connection(message);
     }
 
-    /// Sends the end of a session on a connection that is not its own.
+    /// Sends a notification on a connection that is not the session's own, or keeps it to be retried.
     ///
-    /// Why only connections that had a session are used, the latest first: any other may belong to an unrelated client, which
-    /// would drop the notification.
+    /// Only connections on which a session was established are used, the most recent first. Any other may belong to an
+    /// unrelated client, which would drop the notification.
     fn send_on_other_connection(&mut self, message: UnsentMessage) {
-        let mut others = self.session_connections.iter().rev().copied();
-        match others.find(|other| self.send_to_viewer(*other, &message.bytes)) {
+        let mut candidates = self.session_connections.iter().rev().copied();
+        match candidates.find(|candidate| self.send_to_viewer(*candidate, &message.bytes)) {
             Some(connection) => self.retain_notification(connection, message),
             None => self.unsent_notifications.push_back(message),
         }
     }
 
-    /// Retains a notification that a connection has accepted, in case that it is not delivered.
+    /// Retains a notification that a connection has accepted, so that it can be sent again if it is not delivered.
     pub(super) fn retain_notification(&mut self, connection: ConnectionId, message: UnsentMessage) {
         if let Some(viewer) = self.connections.get(&connection) {
             let expires_at = message.expires_at;
@@ -138,11 +138,16 @@
         }
     }
 
-    /// A connection has ended, and some of what it had accepted may not have reached its viewer.
+    /// Handles the messages that a connection had accepted and that may not have reached the viewer when it ended.
     ///
-    /// The ends of sessions are sent again: twice does no harm, never is a session that its viewer takes for playing. A session
-    /// whose answer did not reach its viewer's machine is released, as if the viewer had left right before the answer.
-    pub(super) fn resend_undelivered(&mut self, connection: ConnectionId, delivery: Delivery) {
+    /// Notifications are sent again: a duplicate does no harm, but a viewer that never gets one takes its session for playing.
+    /// A session whose answer did not reach its viewer's machine is released, as if the viewer had left right before the
+    /// answer.
+    pub(super) fn resend_undelivered(
+        &mut self,
+        connection: ConnectionId,
+        delivery: DeliveryStatus,
+    ) {
         for undelivered in self.sent_to_viewers.take_undelivered(connection, delivery) {
             let certainty = undelivered.certainty;
             match undelivered.message {
@@ -160,17 +165,17 @@
                 SentMessage::Established(player) if certainty == Certainty::Missing => {
                     self.end_session(player, RemovalReason::AnswerUndelivered);
                 }
-                SentMessage::Established(_) => {} // It may have been read, and the session play.
+                SentMessage::Established(_) => {} // The viewer may have read the answer, so the session goes on.
             }
         }
     }
 }
 
-/// A message that a viewer's connection has accepted.
+/// A message that a viewer's connection has accepted, retained in case it is not delivered.
 pub(super) enum SentMessage {
-    /// The answer that this player's session plays.
+    /// The answer that this player's session is established.
     Established(PlayerId),
-    /// The end of a session.
+    /// The encoded notification that a session has ended.
     Notification(Vec<u8>),
 }
 
@@ -184,10 +189,10 @@
     }
 }
 
-/// The message for a notification; none if the protocol has none for it.
+/// The encoded message for a notification; `None` if the protocol has no message for it.
 fn notification_message(session_id: Tag, notification: &Notification) -> Option<Vec<u8>> {
     match notification {
-        Notification::RungChanged(_) => None, // The protocol has no message for rungs.
+        Notification::RungChanged(_) => None,
         Notification::SessionEnded {
             reason: SessionEndReason::Finished,
             ..
--- a/crates/node/src/event_loop/client_requests.rs
+++ b/crates/node/src/event_loop/client_requests.rs
@@ -1,5 +1,5 @@
-//! What viewers send: set-ups, releases, tests, and the end of their connections.
-use super::session::{RemovalReason, Session, SessionState};
+//! Handling of what viewers send: set-ups, requests to end a session, echo requests, and the end of their connections.
+use super::session::{RemovalReason, SessionRecord, SessionState};
 use super::wire_time::{from_fractional_milliseconds, from_milliseconds, to_milliseconds};
 use super::{longest_wait, ConnectionId, EventLoop};
 use crate::shared::increment;
@@ -10,8 +10,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// A set-up whose fields are in range, as the protocol and as the core have it.
-struct SetUpRequest {
+/// A valid set-up request, in the protocol's form and in the core's.
+struct ValidSetUp {
     params: SetUpParams,
     open: OpenRequest,
 }
@@ -40,7 +40,7 @@
         received_at: Time,
     ) {
         if self.is_closed_here(connection) {
-            // It crossed the close, so its viewer sends it once more, on another connection.
+            // The request crossed the close, so the viewer sends it once more, on another connection.
             tracing::debug!(session_id = %set_up.tag, connection_id = connection.0, "set-up not accepted, its connection is being closed");
             return;
         }
@@ -59,20 +59,21 @@
         }
     }
 
-    /// Whether this node has closed its side of a connection, so that nothing can be answered on it.
+    /// Whether this node has closed its side of a connection, so that no answer can be sent on it.
     fn is_closed_here(&self, connection: ConnectionId) -> bool {
         self.connections
             .get(&connection)
             .is_some_and(|connection| !connection.is_open())
     }
 
-    /// A set-up under the id of another one. An adoption may name a session that is known already, and is ignored. For any other
-    /// the connection is closed without an answer. Why: an answer names the id, and would be taken for the other set-up's.
+    /// Handles a set-up with the id of a session that exists. An adoption is ignored, because it may name a session that was
+    /// adopted already. For any other set-up the connection is closed without an answer: an answer would name the id, and would
+    /// be mistaken for the answer to the first set-up.
     fn handle_duplicate(
         &mut self,
         connection: ConnectionId,
         session_id: Tag,
-        request: Option<&SetUpRequest>,
+        request: Option<&ValidSetUp>,
     ) {
         let is_adoption = request.is_some_and(|request| request.params.current_server.is_some());
         if !is_adoption {
@@ -96,17 +97,17 @@
         );
     }
 
-    /// Adopts a session that plays already, if the list in force has its server.
-    fn adopt_session(&mut self, session_id: Tag, request: SetUpRequest) {
-        let SetUpRequest { params, open } = request;
+    /// Adopts a session that plays already, if the endpoint list in force contains its server.
+    fn adopt_session(&mut self, session_id: Tag, request: ValidSetUp) {
+        let ValidSetUp { params, open } = request;
         let Some(server) = params
             .current_server
             .as_deref()
-            .and_then(|name| self.listed(name))
+            .and_then(|name| self.listed_server_id(name))
         else {
             return;
         };
-        let player = self.insert_session(Session {
+        let player = self.insert_session(SessionRecord {
             session_id,
             connection: ConnectionId::default(),
             class: open.class,
@@ -124,16 +125,16 @@
         &mut self,
         connection: ConnectionId,
         set_up: &viewers::SetUp,
-        request: SetUpRequest,
+        request: ValidSetUp,
         received_at: Time,
     ) {
-        let SetUpRequest { params, open } = request;
+        let ValidSetUp { params, open } = request;
         let session_id = set_up.tag;
         let Some(viewer) = self.connections.get(&connection) else {
             return;
         };
         let pending = viewer.pending_set_ups.load(Ordering::Relaxed);
-        if pending >= self.shared.budget.pending_set_ups_per_connection {
+        if pending >= self.shared.budget.max_pending_set_ups_per_connection {
             increment(&self.shared.drop_counters.too_many_pending);
             tracing::debug!(%session_id, connection_id = connection.0, pending, "set-up rejected, too many pending on its connection");
             let retry_after =
@@ -147,7 +148,7 @@
         viewer.extend_output_deadline(received_at + open.max_wait);
         tracing::debug!(%session_id, connection_id = connection.0, opts = ?set_up.opts, "set-up received");
         let description = set_up.blob.clone().unwrap_or_default();
-        let player = self.insert_session(Session {
+        let player = self.insert_session(SessionRecord {
             session_id,
             connection,
             class: open.class,
@@ -161,23 +162,23 @@
         });
     }
 
-    /// Adds a session to the tables; returns the player number by which the core knows it.
-    fn insert_session(&mut self, session: Session) -> PlayerId {
-        self.last_player += 1;
-        let player = PlayerId(self.last_player);
+    /// Adds a session to the tables and returns the id by which the core knows it.
+    fn insert_session(&mut self, session: SessionRecord) -> PlayerId {
+        self.last_player_id += 1;
+        let player = PlayerId(self.last_player_id);
         self.players.insert(session.session_id, player);
         self.sessions.insert(player, session);
         player
     }
 
-    /// Reads a set-up's fields and looks their names up.
-    fn read_set_up(&self, set_up: &viewers::SetUp) -> Result<SetUpRequest, InvalidField> {
+    /// Parses the fields of a set-up, and looks up the names of its class and its tenant in the settings.
+    fn read_set_up(&self, set_up: &viewers::SetUp) -> Result<ValidSetUp, InvalidField> {
         let params = set_up.set_up_params()?;
         let open = self.open_request(set_up.tag, &params)?;
-        Ok(SetUpRequest { params, open })
+        Ok(ValidSetUp { params, open })
     }
 
-    /// A set-up in the core's terms.
+    /// Converts a set-up's parameters into the core's request. Fails if a field is not valid under the settings.
     fn open_request(
         &self,
         session_id: Tag,
@@ -221,9 +222,9 @@
         })
     }
 
-    /// A tenant's place in the settings; a deployment without tenants has one that needs no name.
+    /// A tenant's index in the settings. Without tenants in the settings all set-ups use index 0, and must name no tenant.
     ///
-    /// Why: where there are tenants, a set-up without one must not be counted against the first of them.
+    /// With tenants in the settings, a set-up that names none is invalid, as it would be counted against the first tenant.
     fn tenant_index(&self, name: Option<&str>) -> Result<usize, InvalidField> {
         let tenants = &self.shared.config.fleet.tenants;
         match name {
@@ -242,7 +243,8 @@
             let Some(session) = self.sessions.get(&player) else {
                 return;
             };
-            // Only who waits for the answer may cancel the set-up; an established session belongs to no connection.
+            // A pending set-up may be cancelled only on the connection that it came on. An established session may be ended on
+            // any connection.
             if session.is_established() || session.connection == connection {
                 self.release_cause = reason;
                 self.end_session(player, RemovalReason::FinishedByViewer);
@@ -252,7 +254,7 @@
         self.send_to_viewer(connection, &viewers::finished(session_id));
     }
 
-    /// The viewer wants nothing more of this session.
+    /// Removes a session whose viewer has left it, and reports that to the core.
     pub(super) fn end_session(&mut self, player: PlayerId, reason: RemovalReason) {
         if self.remove_session(player, reason).is_some() {
             self.notify_core(Input::Leave(player));
@@ -265,7 +267,7 @@
         };
         self.session_connections.retain(|other| *other != id);
         if connection.pending_set_ups.load(Ordering::Relaxed) == 0 {
-            return; // True of most connections, and saves a search through all sessions.
+            return; // Most connections have none, so the search through all sessions is rarely needed.
         }
         let pending: Vec<PlayerId> = self
             .sessions
@@ -274,7 +276,7 @@
             .map(|(player, _)| *player)
             .collect();
         for player in pending {
-            self.end_session(player, RemovalReason::ViewerDisconnected); // No answer can reach it any more.
+            self.end_session(player, RemovalReason::ViewerDisconnected);
         }
     }
 
@@ -282,7 +284,7 @@
         &mut self,
         player: PlayerId,
         reason: RemovalReason,
-    ) -> Option<Session> {
+    ) -> Option<SessionRecord> {
         let session = self.sessions.remove(&player)?;
         tracing::debug!(session_id = %session.session_id, ?reason, established = session.is_established(), "session removed");
         self.players.remove(&session.session_id);
@@ -292,7 +294,7 @@
         Some(session)
     }
 
-    /// Counts one pending set-up less on this connection.
+    /// Decrements a connection's count of pending set-ups, and marks the connection as used now.
     pub(super) fn set_up_answered(&self, connection: ConnectionId) {
         if let Some(connection) = self.connections.get(&connection) {
             connection.pending_set_ups.fetch_sub(1, Ordering::AcqRel);
@@ -307,7 +309,7 @@
     }
 }
 
-/// Retry advice in the protocol's milliseconds; none if it is less than one.
+/// Retry advice in milliseconds, as the protocol has it; `None` if it is less than one.
 pub(super) fn retry_after_ms(retry_after: Duration) -> Option<u64> {
     let milliseconds = to_milliseconds(retry_after);
     (milliseconds > 0).then_some(milliseconds)
--- a/crates/node/src/event_loop/core_driver.rs
+++ b/crates/node/src/event_loop/core_driver.rs
@@ -1,4 +1,4 @@
-//! Driving the core: inputs go in, outputs are carried out.
+//! Passes inputs to the core and executes the outputs that it returns.
 use super::server_releases::ServerRelease;
 use super::EventLoop;
 use crankpaddle_front::{AttemptId, Core, Input, Output, ServerId, Time};
@@ -7,39 +7,40 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Decisions that take longer are logged: answers of servers wait meanwhile.
-const SLOW_DECISION: Duration = Duration::from_millis(2);
-/// The session that health checks name: no viewer's set-up has it.
+/// Decisions that take at least this long are logged, because servers' responses wait meanwhile.
+const SLOW_DECISION_THRESHOLD: Duration = Duration::from_millis(2);
+/// The session id in health checks. No viewer's set-up uses it.
 const HEALTH_CHECK_SESSION: &str = "0000000000000000";
 
 impl EventLoop {
-    /// Passes an input to the core; while the core's outputs are being carried out, queues it behind them. Outputs that do not
-    /// depend on the policy are carried out now; the policy decides in [`EventLoop::decide`], after all messages of the inbox
-    /// were handled.
+    /// Passes an input to the core, or queues it if the core's outputs are being executed.
+    ///
+    /// Outputs that do not depend on the policy are executed at once. The policy decides in [`EventLoop::decide`], after all
+    /// messages of the inbox were handled.
     pub(super) fn notify_core(&mut self, input: Input) {
         self.pending_inputs.push_back(input);
-        if !self.is_carrying_out {
+        if !self.is_executing_outputs {
             self.process_inputs();
         }
     }
 
     fn process_inputs(&mut self) {
-        self.is_carrying_out = true;
+        self.is_executing_outputs = true;
         while let Some(input) = self.pending_inputs.pop_front() {
             self.core
                 .handle_input(clock::now(), input, &mut self.outputs);
-            self.publish_counts(); // Before the answer is sent: its receiver may read them.
-            self.carry_out_outputs();
+            self.publish_counts(); // A viewer that gets the answer may read the counts, so they are updated first.
+            self.execute_outputs();
         }
-        self.is_carrying_out = false;
+        self.is_executing_outputs = false;
     }
 
-    /// Lets the policy decide on what was received, and timers that are due expire.
+    /// Expires timers that are due, and lets the policy decide on all inputs that were received.
     pub(super) fn decide(&mut self) {
         let started_at = clock::now();
         self.decide_all();
         let elapsed = clock::now().duration_since(started_at);
-        if elapsed >= SLOW_DECISION {
+        if elapsed >= SLOW_DECISION_THRESHOLD {
             tracing::debug!(
                 elapsed_us = elapsed.as_micros(),
                 pending = self.core.waiting(),
@@ -55,11 +56,11 @@
                 self.process_inputs();
                 self.with_core(Core::decide);
             }
-            self.is_carrying_out = true;
+            self.is_executing_outputs = true;
             self.dispatch_queued();
-            self.is_carrying_out = false;
-            // Attempts that were withdrawn or found no connection are decided on again. The loop ends: each request has a
-            // bounded number of attempts.
+            self.is_executing_outputs = false;
+            // Attempts that were withdrawn or found no connection are decided on again. The loop ends because the number of
+            // attempts of a request is limited.
             if self.pending_inputs.is_empty() {
                 return;
             }
@@ -67,11 +68,11 @@
     }
 
     fn with_core(&mut self, call: impl FnOnce(&mut Core, Time, &mut Vec<Output>)) {
-        self.is_carrying_out = true;
+        self.is_executing_outputs = true;
         call(&mut self.core, clock::now(), &mut self.outputs);
         self.publish_counts();
-        self.carry_out_outputs();
-        self.is_carrying_out = false;
+        self.execute_outputs();
+        self.is_executing_outputs = false;
     }
 
     fn publish_counts(&self) {
@@ -83,15 +84,15 @@
             .store(self.core.playing(), Ordering::Relaxed);
     }
 
-    fn carry_out_outputs(&mut self) {
+    fn execute_outputs(&mut self) {
         let mut outputs = std::mem::take(&mut self.outputs);
         for output in outputs.drain(..) {
-            self.carry_out(output);
+            self.execute_output(output);
         }
         self.outputs = outputs;
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute_output(&mut self, output: Output) {
         match output {
             Output::Answer(call, answer) => self.send_answer(call.player, &answer),
             Output::Notify(player, _, notification) => self.notify_viewer(player, notification),
@@ -107,13 +108,13 @@
                 attempt,
                 server,
             } => self.adopt(player, attempt, server),
-            Output::FoundSessionHandled { .. } | Output::StageReached(..) => {} // Nothing is persisted here.
+            Output::FoundSessionHandled { .. } | Output::StageReached(..) => {} // For fronts that persist sessions.
             Output::AbandonAttempt(attempt, server) => self.abandon_attempt(attempt, server),
             Output::SetRung(attempt, server, rung) => self.set_rung(attempt, server, rung),
             Output::TearDown(attempt, server) => self.tear_down(attempt, server),
             Output::HealthCheck(server) => self.check_health(server),
-            Output::SubscribeEndpoints | Output::FetchEndpoints => {} // The directory is polled all the time.
-            Output::Log(line) => tracing::info!(line, "policy log"),
+            Output::SubscribeEndpoints | Output::FetchEndpoints => {} // The directory is polled in any case.
+            Output::Log(line) => tracing::info!(line, "message from the placement policy"),
         }
     }
 
--- a/crates/node/src/event_loop/delivery.rs
+++ b/crates/node/src/event_loop/delivery.rs
@@ -1,47 +1,50 @@
-//! What becomes of messages that the kernel accepted: retained for a while, and handed out again if their connection ends first.
+//! Retains messages that the kernel accepted for a while, and returns those that may not have been delivered when their
+//! connection ends.
 //!
-//! A message that was written is not delivered yet. Its peer may have closed the connection a moment before, or close it with the
-//! message unread. What the kernel reports at the end of the connection tells: the bytes that the peer's machine has
-//! acknowledged, and whether the peer reset the connection, as a machine does where a program closes it with input unread.
+//! A message that was written is not necessarily delivered: the peer may have closed the connection a moment before, or may
+//! close it with the message unread. Two facts that the kernel reports at the end of the connection tell whether it was
+//! delivered: how many bytes the peer's machine has acknowledged, and whether the peer reset the connection. A machine resets a
+//! connection that a program closes with input unread.
 use crankpaddle_front::Time;
 use crankpaddle_net::{ReadEnd, WriteBuffer};
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Messages retained for one connection at most; the oldest is dropped first, and counts as delivered.
+/// Maximum number of messages retained for one connection. Beyond it the oldest is dropped, and counts as delivered.
 const MAX_RETAINED: usize = 256;
 
-/// What is known of the delivery on a connection that has ended.
+/// What the kernel reported on the delivery of messages when a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Delivery {
-    /// Up to where the peer's machine has acknowledged what was sent, if the kernel reports it.
+pub(crate) struct DeliveryStatus {
+    /// Number of bytes sent on the connection that the peer's machine has acknowledged; `None` if the kernel does not report
+    /// it.
     acknowledged: Option<u64>,
-    /// Whether the peer may have left unread what its machine acknowledged.
+    /// Whether the connection was reset, so that the peer may not have read all that its machine acknowledged.
     may_be_unread: bool,
 }
 
-impl Delivery {
-    /// On a connection whose reading has just ended, before it is closed.
-    pub(crate) fn at_end(end: ReadEnd, outbox: &WriteBuffer) -> Delivery {
-        Delivery {
+impl DeliveryStatus {
+    /// The status of a connection whose reading has just ended. It must be taken before this side closes the connection.
+    pub(crate) fn at_end(end: ReadEnd, outbox: &WriteBuffer) -> DeliveryStatus {
+        DeliveryStatus {
             acknowledged: outbox.acknowledged_position(),
             may_be_unread: matches!(end, ReadEnd::Failed(_)),
         }
     }
 
-    /// Whether the peer's machine did not get what ends at this position.
-    fn is_missing(self, end_position: u64) -> bool {
+    /// Whether the peer's machine did not receive all bytes up to `end_position`.
+    fn is_unacknowledged(self, end_position: u64) -> bool {
         self.acknowledged
             .is_some_and(|acknowledged| acknowledged < end_position)
     }
 }
 
-/// How sure it is that a message was not delivered.
+/// How certain it is that a message was not delivered. Log lines show the variant's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Certainty {
     /// It never reached the peer's machine.
     Missing,
-    /// It did, but the peer may not have read it.
+    /// It reached the peer's machine, but the peer may not have read it.
     MaybeUnread,
 }
 
@@ -49,18 +52,19 @@
 pub(crate) struct UndeliveredMessage<M> {
     pub(crate) message: M,
     pub(crate) certainty: Certainty,
-    /// Until when it may be sent again.
+    /// The time after which it is not sent again.
     pub(crate) expires_at: Time,
 }
 
 /// A message that was written to a connection.
 struct RetainedMessage<M> {
     message: M,
+    /// Where it ends, in bytes from the start of the connection.
     end_position: u64,
     expires_at: Time,
 }
 
-/// Messages that were written to connections and may have to be sent again.
+/// Messages of type `M` that were written to connections with ids of type `C` and may have to be sent again.
 pub(crate) struct RetainedMessages<C, M> {
     by_connection: HashMap<C, VecDeque<RetainedMessage<M>>>,
 }
@@ -72,7 +76,7 @@
         }
     }
 
-    /// Retains a message that was just pushed to `outbox`, until `expires_at`.
+    /// Retains a message until `expires_at`. It must be the last one that was pushed to `outbox`.
     pub(crate) fn retain(
         &mut self,
         connection: C,
@@ -91,7 +95,7 @@
         });
     }
 
-    /// Drops what has expired: whatever became of it, it is not sent again.
+    /// Drops messages that have expired, delivered or not, as they are not sent again.
     pub(crate) fn remove_expired(&mut self, now: Time) {
         self.by_connection.retain(|_, messages| {
             messages.retain(|message| now < message.expires_at);
@@ -99,17 +103,17 @@
         });
     }
 
-    /// The messages of a connection that has ended which may not have been delivered, in order.
+    /// Removes all messages of a connection that has ended, and returns those that may not have been delivered, in order.
     pub(crate) fn take_undelivered(
         &mut self,
         connection: C,
-        delivery: Delivery,
+        delivery: DeliveryStatus,
     ) -> Vec<UndeliveredMessage<M>> {
         let messages = self.by_connection.remove(&connection).unwrap_or_default();
         messages
             .into_iter()
             .filter_map(|retained| {
-                let certainty = if delivery.is_missing(retained.end_position) {
+                let certainty = if delivery.is_unacknowledged(retained.end_position) {
                     Certainty::Missing
                 } else if delivery.may_be_unread {
                     Certainty::MaybeUnread
--- a/crates/node/src/event_loop/endpoint_list.rs
+++ b/crates/node/src/event_loop/endpoint_list.rs
@@ -1,41 +1,41 @@
-//! The directory's list in the core's terms.
-use super::server::Server;
+//! Applies the directory's list of servers: converts its entries, and reports changes to the core.
+use super::server::ServerRecord;
 use super::wire_time::from_milliseconds;
 use super::EventLoop;
-use crate::health::Health;
+use crate::health::ServerHealth;
 use crankpaddle_front::{Endpoint, EndpointListKind, Input, Lifecycle, ServerId, Time};
 use crankpaddle_net::clock;
 use crankpaddle_node_protocol::directory::{Entry, List, State};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A server of a list that does not fit the settings.
+/// A server whose zone, kind or cell the settings do not name.
 #[derive(Clone, PartialEq, Eq)]
 pub(super) struct IncompatibleServer {
     name: String,
     reason: UnknownValue,
 }
 
-/// A field of a server has a value that the settings do not name.
+/// The field of a directory entry whose value the settings do not name.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct UnknownValue {
     field: &'static str,
 }
 
-/// A list, split into servers that fit the settings and those that do not.
-struct SortedList {
+/// An endpoint list, split into servers that fit the settings and those that do not.
+struct PartitionedList {
     endpoints: BTreeMap<ServerId, Entry>,
     incompatible: Vec<IncompatibleServer>,
 }
 
 impl EventLoop {
-    /// Applies a list: the core is notified of the changes.
+    /// Applies an endpoint list and reports the changes to the core.
     pub(super) fn update_endpoints(&mut self, list: List, kind: EndpointListKind) {
         let now = clock::now();
-        let SortedList {
+        let PartitionedList {
             endpoints: listed,
             incompatible,
-        } = self.sort_list(list);
+        } = self.partition_list(list);
         if !self.accept_list(incompatible, listed.is_empty()) {
             return;
         }
@@ -50,7 +50,7 @@
         for (id, entry) in &listed {
             let before = previous.get(id);
             if before != Some(entry) || kind != EndpointListKind::Delta {
-                changes.extend(self.endpoint(*id, entry));
+                changes.extend(self.endpoint_from_entry(*id, entry));
                 self.server_listed(*id, entry, before, now);
             }
         }
@@ -59,7 +59,7 @@
     }
 
     fn removed_endpoint(&self, id: ServerId, entry: &Entry) -> Option<Endpoint> {
-        let endpoint = self.endpoint(id, entry).ok()?;
+        let endpoint = self.endpoint_from_entry(id, entry).ok()?;
         Some(Endpoint {
             lifecycle: Lifecycle::Removed,
             ..endpoint
@@ -80,19 +80,19 @@
         }
     }
 
-    /// The server of this name, if the list has it.
-    pub(super) fn listed(&self, name: &str) -> Option<ServerId> {
-        let id = server_id(name);
+    /// The id of the server with this name, if the endpoint list in force contains it.
+    pub(super) fn listed_server_id(&self, name: &str) -> Option<ServerId> {
+        let id = server_id_from_name(name);
         let entry = self.endpoints.get(&id)?;
         (entry.name == name).then_some(id)
     }
 
-    fn sort_list(&self, list: List) -> SortedList {
+    fn partition_list(&self, list: List) -> PartitionedList {
         let mut endpoints: BTreeMap<ServerId, Entry> = BTreeMap::new();
         let mut incompatible = Vec::new();
         for entry in list.entries {
-            let id = server_id(&entry.name);
-            if let Err(reason) = self.endpoint(id, &entry) {
+            let id = server_id_from_name(&entry.name);
+            if let Err(reason) = self.endpoint_from_entry(id, &entry) {
                 incompatible.push(IncompatibleServer {
                     name: entry.name,
                     reason,
@@ -108,18 +108,18 @@
             }
             endpoints.insert(id, entry);
         }
-        SortedList {
+        PartitionedList {
             endpoints,
             incompatible,
         }
     }
 
-    /// Whether a list may be applied; incompatible servers are logged once, when they change. `has_no_endpoints`: it has no
-    /// other servers.
+    /// Whether a list may be applied. `has_no_endpoints` tells that it has no servers besides the incompatible ones. These are
+    /// logged when they differ from those of the previous list.
     ///
-    /// Why: a server with a zone, kind or cell that the settings do not name may be another deployment's, so it gets no set-ups
-    /// until the settings name them. A list that has only such servers comes from another deployment's directory; applied, it
-    /// would end all sessions here.
+    /// A server with a zone, kind or cell that the settings do not name may belong to another deployment, so it gets no set-ups
+    /// until the settings name them. A list that has only such servers comes from another deployment's directory, and would end
+    /// all sessions here if it were applied.
     fn accept_list(
         &mut self,
         incompatible: Vec<IncompatibleServer>,
@@ -134,8 +134,12 @@
         !is_rejected
     }
 
-    /// A server in the core's terms.
-    fn endpoint(&self, server: ServerId, entry: &Entry) -> Result<Endpoint, UnknownValue> {
+    /// Converts a directory entry into the core's endpoint. Fails if the settings do not name its zone, kind or cell.
+    fn endpoint_from_entry(
+        &self,
+        server: ServerId,
+        entry: &Entry,
+    ) -> Result<Endpoint, UnknownValue> {
         let fleet = &self.shared.config.fleet;
         let zone = index_of(&fleet.zones, &entry.zone).ok_or(UnknownValue { field: "zone" })?;
         let kind = index_of(&fleet.kinds, &entry.kind).ok_or(UnknownValue { field: "kind" })?;
@@ -156,7 +160,7 @@
         })
     }
 
-    /// A server is in the list, new or changed.
+    /// Adds or updates the record of a server in the endpoint list. `before` is its entry in the previous list.
     fn server_listed(&mut self, id: ServerId, entry: &Entry, before: Option<&Entry>, now: Time) {
         if let Some(before) = before {
             let has_moved = before.address != entry.address;
@@ -165,22 +169,21 @@
             }
         }
         let update_interval = self.update_interval();
-        let server = self
-            .servers
-            .entry(id)
-            .or_insert_with(|| Server::new(entry.address, Health::new(now, update_interval)));
+        let server = self.servers.entry(id).or_insert_with(|| {
+            ServerRecord::new(entry.address, ServerHealth::new(now, update_interval))
+        });
         server.address = entry.address;
         server.is_listed = true;
     }
 
-    /// The time between two updates of a session, if the settings name one: 0 is none.
+    /// The interval between a server's updates of a session; `None` if the settings have 0.
     fn update_interval(&self) -> Option<Duration> {
         let interval = self.shared.config.fleet.settings.update_interval;
         (interval > 0).then_some(Duration::from_nanos(interval))
     }
 
-    /// A server is not in the list any more. Its links stay open until the server closes them, but no new connection is made,
-    /// as its address may be another server's by now.
+    /// Marks a server that was removed from the endpoint list. Its links stay open until the server closes them, but no new
+    /// connection is made, as its address may be another server's by now.
     fn server_unlisted(&mut self, id: ServerId) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -208,12 +211,12 @@
     if is_rejected {
         tracing::error!(
             reason = "no server fits the settings: the list is another deployment's",
-            "endpoint list rejected; the one in force stays"
+            "endpoint list rejected; the current list stays in force"
         );
     }
 }
 
-/// A name's place in the settings; a deployment that names none has one.
+/// The index of a name in the settings; 0 for any name if the settings name none.
 fn index_of(names: &[String], name: &str) -> Option<usize> {
     if names.is_empty() {
         return Some(0);
@@ -221,18 +224,19 @@
     names.iter().position(|known| known == name)
 }
 
-/// When a server started late; the origin of the clock where the list names no time.
+/// When a server's incarnation started; the origin of the clock if the list has 0.
 fn started_at(entry: &Entry) -> Time {
     Time::ZERO + from_milliseconds(entry.started_ms)
 }
 
-/// The first hash value of FNV-1a, 32 bits.
+/// Offset basis of the 32-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
-/// The factor of FNV-1a, 32 bits.
+/// Prime of the 32-bit FNV-1a hash.
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// A server's number: its id is 8 hex digits behind a dash; any other id is hashed, alike at every front.
-fn server_id(name: &str) -> ServerId {
+/// The id that the core uses for a server: the 8 hex digits after the last dash of its name. Any other name is hashed, so that
+/// all fronts use the same id.
+fn server_id_from_name(name: &str) -> ServerId {
     let digits = name.rsplit('-').next().filter(|digits| digits.len() == 8);
     let number = digits.and_then(|digits| u32::from_str_radix(digits, 16).ok());
     ServerId(number.unwrap_or_else(|| fnv1a(name)))
--- a/crates/node/src/event_loop/link.rs
+++ b/crates/node/src/event_loop/link.rs
@@ -1,36 +1,36 @@
-//! A link: one connection to a server.
+//! The event loop's record of a link, which is one connection to a server.
 use crankpaddle_front::{AttemptId, ServerId, Time};
 use crankpaddle_net::{CloseReason, WriteBuffer};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A connection to a server, from the connect on.
-pub(super) struct Link {
+/// A connection to a server, from the start of the connect to the close.
+pub(super) struct LinkRecord {
     pub(super) server: ServerId,
     pub(super) state: LinkState,
-    /// Attempts without an answer on it, or waiting for it to come up.
+    /// Attempts that wait for it to connect, or that were sent on it and have no answer.
     pub(super) pending: Vec<AttemptId>,
-    /// When something last came on it; the start of the connect before anything did.
+    /// When something was last received on it. Until then the time when it was connected, or when the connect was started.
     pub(super) last_received: Time,
-    /// When the connect was started.
+    /// When the connect was started. A new incarnation of the server makes links stale that are older than it.
     pub(super) connect_started_at: Time,
 }
 
 /// How far a link has come.
 pub(super) enum LinkState {
-    /// The connect has not completed.
+    /// The connect is in progress.
     Connecting,
-    /// It is up; that it ended may not have been noticed yet.
+    /// The connect succeeded. The connection may have ended since without this being noticed.
     Connected {
         outbox: Arc<WriteBuffer>,
-        /// Since when it is not to be used, because an attempt on it timed out in silence.
+        /// When an attempt on it first timed out while nothing was received. Unresponsive links get no set-ups.
         unresponsive_since: Option<Time>,
     },
 }
 
-impl Link {
-    pub(super) fn connecting(server: ServerId, now: Time) -> Link {
-        Link {
+impl LinkRecord {
+    pub(super) fn connecting(server: ServerId, now: Time) -> LinkRecord {
+        LinkRecord {
             server,
             state: LinkState::Connecting,
             pending: Vec::new(),
@@ -58,13 +58,13 @@
         matches!(self.state, LinkState::Connecting)
     }
 
-    /// Whether it came up and is open, as far as the kernel knows.
+    /// Whether it is connected and open, as far as the kernel knows.
     pub(super) fn is_open(&self) -> bool {
         self.outbox()
             .is_some_and(|outbox| outbox.socket().is_open())
     }
 
-    /// Whether it came up and no attempt on it has timed out in silence since something was received.
+    /// Whether it is connected, and no attempt on it has timed out since something was last received.
     pub(super) fn is_responsive(&self) -> bool {
         matches!(
             self.state,
@@ -75,23 +75,23 @@
         )
     }
 
-    /// Whether a set-up that is written to it reaches its server now: the server answers, and has read what came before.
+    /// Whether a set-up can be written to it: the server is responsive, and the kernel has accepted all earlier bytes.
     pub(super) fn is_usable(&self) -> bool {
         self.is_responsive() && self.outbox().is_some_and(|outbox| outbox.is_empty())
     }
 
-    /// Whether it is up and nothing on it waits for an answer.
+    /// Whether it is connected and no attempt on it waits for an answer.
     pub(super) fn is_idle(&self) -> bool {
         !self.is_connecting() && self.pending.is_empty()
     }
 
-    /// Whether some of what was written to it has not been sent.
+    /// Whether some bytes that were written to it are still in the node's or the kernel's send buffer.
     pub(super) fn has_unsent(&self) -> bool {
         self.outbox()
             .is_some_and(|outbox| !outbox.is_empty() || outbox.socket().unsent() > 0)
     }
 
-    /// Something was received on it, so it is responsive.
+    /// Records that something was received on it, which makes it responsive.
     pub(super) fn record_received(&mut self, now: Time) {
         self.last_received = now;
         if let LinkState::Connected {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// An attempt on it timed out in silence; the first such time counts.
+    /// Records that an attempt on it timed out while nothing was received. Later calls keep the first time.
     pub(super) fn mark_unresponsive(&mut self, now: Time) {
         if let LinkState::Connected {
             unresponsive_since, ..
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Whether it is unresponsive for longer than `duration` and nothing waits on it.
+    /// Whether it has been unresponsive for longer than `duration` and no attempt waits on it.
     pub(super) fn is_expired(&self, now: Time, duration: Duration) -> bool {
         let LinkState::Connected {
             unresponsive_since: Some(since),
@@ -124,7 +124,7 @@
         self.pending.is_empty() && now > since + duration
     }
 
-    /// Closes its socket, if it has one.
+    /// Closes its socket; does nothing while the connect is in progress.
     pub(super) fn close(&self, reason: CloseReason) {
         if let Some(outbox) = self.outbox() {
             outbox.socket().close(reason);
--- a/crates/node/src/event_loop/maintenance.rs
+++ b/crates/node/src/event_loop/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic work: servers and links are checked, notifications are retried, counts are logged.
+//! Periodic work: checks of servers and links, retries of notifications, and logging of counts.
 use super::{ConnectionId, EventLoop, UnsentMessage};
 use crate::shared::LinkId;
 use crankpaddle_front::{ServerId, Time};
@@ -12,18 +12,18 @@
 const COUNTS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// How often load estimates are traced.
 const LOAD_TRACE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a link stays open after an attempt on it timed out in silence.
+/// How long a link stays open after an attempt on it timed out while nothing was received.
 const UNRESPONSIVE_LINK_LIFETIME: Duration = Duration::from_secs(2);
 
-/// When periodic work is due. The interval counts from when it was last found due.
-pub(super) struct Periodic {
+/// A timer for periodic work. Its interval starts anew when it fires, so delays do not accumulate into extra runs.
+pub(super) struct PeriodicTimer {
     due_at: Time,
     interval: Duration,
 }
 
-impl Periodic {
-    fn first_after(now: Time, interval: Duration) -> Periodic {
-        Periodic {
+impl PeriodicTimer {
+    fn first_after(now: Time, interval: Duration) -> PeriodicTimer {
+        PeriodicTimer {
             due_at: now + interval,
             interval,
         }
@@ -33,29 +33,29 @@
         self.due_at
     }
 
-    /// Whether it is due; then it is due again an interval from `now`.
-    pub(super) fn is_due(&mut self, now: Time) -> bool {
-        let due = now >= self.due_at;
-        if due {
+    /// Whether it is due. If so, it is next due one interval after `now`.
+    pub(super) fn fire_if_due(&mut self, now: Time) -> bool {
+        let is_due = now >= self.due_at;
+        if is_due {
             self.due_at = now + self.interval;
         }
-        due
+        is_due
     }
 }
 
-/// When the event loop's periodic work is due.
+/// The timers of the event loop's periodic work.
 pub(super) struct Schedule {
-    pub(super) maintenance: Periodic,
-    pub(super) counts_log: Periodic,
-    load_trace: Periodic,
+    pub(super) maintenance: PeriodicTimer,
+    pub(super) counts_log: PeriodicTimer,
+    load_trace: PeriodicTimer,
 }
 
 impl Schedule {
     pub(super) fn starting_at(now: Time) -> Schedule {
         Schedule {
-            maintenance: Periodic::first_after(now, MAINTENANCE_INTERVAL),
-            counts_log: Periodic::first_after(now, COUNTS_LOG_INTERVAL),
-            load_trace: Periodic {
+            maintenance: PeriodicTimer::first_after(now, MAINTENANCE_INTERVAL),
+            counts_log: PeriodicTimer::first_after(now, COUNTS_LOG_INTERVAL),
+            load_trace: PeriodicTimer {
                 due_at: now,
                 interval: LOAD_TRACE_INTERVAL,
             },
@@ -65,7 +65,7 @@
 
 impl EventLoop {
     pub(super) fn trace_load_estimates(&self, now: Time, schedule: &mut Schedule) {
-        if !tracing::enabled!(tracing::Level::TRACE) || !schedule.load_trace.is_due(now) {
+        if !tracing::enabled!(tracing::Level::TRACE) || !schedule.load_trace.fire_if_due(now) {
             return;
         }
         for estimate in self.core.server_estimates(now) {
@@ -92,22 +92,23 @@
         self.sent_to_viewers.remove_expired(now);
         self.sent_to_servers.remove_expired(now);
         self.retry_notifications(now);
-        self.publish_entries();
+        self.publish_entry_count();
     }
 
     fn maintain_server(&mut self, id: ServerId, now: Time) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.remove_expired(now);
         }
-        self.ensure_observed(id, now);
+        self.ensure_monitored(id, now);
         let Some(server) = self.servers.get(&id) else {
             return;
         };
         if server.is_unused() {
             self.close_links(id, CloseReason::NotNeeded);
             self.servers.remove(&id);
-        } else if !server.is_listed && server.health.wants_connect(now, true) {
-            self.server_lost(id); // Silent, and no connect may check it any more.
+        } else if !server.is_listed && server.health.should_connect(now, true) {
+            // It is silent, and a connect can't check it, as its address may be another server's by now.
+            self.server_lost(id);
         }
     }
 
@@ -131,9 +132,10 @@
         }
     }
 
-    /// Sends a notification on any connection that accepts it: one that had a session, or else any that has sent a message.
+    /// Retries a notification on connections on which a session was established, the most recent first, and then on any other
+    /// that has sent a message.
     fn retry_notification(&mut self, message: UnsentMessage) {
-        let have_sent = self
+        let other_active = self
             .connections
             .values()
             .filter(|connection| connection.has_sent_message.load(Ordering::Relaxed))
@@ -143,22 +145,27 @@
             .iter()
             .rev()
             .copied()
-            .chain(have_sent);
-        let sent_on = candidates.find(|id: &ConnectionId| self.send_to_viewer(*id, &message.bytes));
-        match sent_on {
+            .chain(other_active);
+        let accepted_by =
+            candidates.find(|id: &ConnectionId| self.send_to_viewer(*id, &message.bytes));
+        match accepted_by {
             Some(connection) => self.retain_notification(connection, message),
             None => self.unsent_notifications.push_back(message),
         }
     }
 
-    fn publish_entries(&self) {
-        let of_servers: usize = self.servers.values().map(super::Server::entries).sum();
-        let own = self.sessions.len()
+    fn publish_entry_count(&self) {
+        let server_entries: usize = self
+            .servers
+            .values()
+            .map(super::ServerRecord::entry_count)
+            .sum();
+        let own_entries = self.sessions.len()
             + self.players.len()
             + self.attempts.len()
             + self.unsent_notifications.len();
         self.shared
             .entries
-            .store(own + of_servers, Ordering::Relaxed);
+            .store(own_entries + server_entries, Ordering::Relaxed);
     }
 }
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -1,15 +1,17 @@
-//! The event loop: the one place where all messages are handled, in one order. It owns the core and never waits for a socket.
+//! The event loop handles all messages of the node, one after the other. It owns the core and never waits for a socket.
 //!
-//! - `session`, `attempt`, `link`, `server`: the records of its tables;
-//! - `client_requests`, `client_notifications`: what viewers send and are sent;
-//! - `delivery`: what becomes of messages that the kernel accepted;
-//! - `server_messages`, `set_up_responses`: what servers send; `server_releases`: what they are sent at a session's end;
-//! - `attempt_dispatch`, `attempt_lifecycle`: an attempt from the decision to its end;
-//! - `server_links`, `server_liveness`: connections to servers, and what their loss means for sessions;
-//! - `endpoint_list`: the directory's list;
-//! - `core_driver`: inputs into the core and outputs from it;
-//! - `maintenance`, `shutdown`: what is due from time to time, and the end;
-//! - `wire_time`: times on the wire.
+//! - `session`, `attempt`, `link`, `server`: the records in its tables
+//! - `client_requests`, `client_notifications`: messages from and to viewers
+//! - `delivery`: detection of messages that the kernel accepted and that were not delivered
+//! - `server_messages`, `set_up_responses`: messages from servers
+//! - `server_releases`: releases of sessions that are sent to servers
+//! - `attempt_dispatch`, `attempt_lifecycle`: an attempt from the policy's decision to its end
+//! - `server_links`: connections to servers
+//! - `server_liveness`: detection of lost servers, which ends the sessions there
+//! - `endpoint_list`: the directory's list of servers
+//! - `core_driver`: inputs into the core and outputs from it
+//! - `maintenance`, `shutdown`: periodic work, and graceful shutdown
+//! - `wire_time`: conversion of times on the wire
 mod attempt;
 mod attempt_dispatch;
 mod attempt_lifecycle;
@@ -32,7 +34,7 @@
 
 use crate::shared::{InboxMessage, LinkId, Shared};
 use crate::viewer_connection::{ConnectionId, ViewerConnection};
-use attempt::Attempt;
+use attempt::AttemptRecord;
 use attempt_dispatch::{QueuedAttempt, RECHECK_INTERVAL};
 use client_notifications::SentMessage;
 use crankpaddle_front::{
@@ -46,12 +48,12 @@
 use crankpaddle_time::nanoseconds;
 use delivery::RetainedMessages;
 use endpoint_list::IncompatibleServer;
-use link::Link;
+use link::LinkRecord;
 use maintenance::Schedule;
 use may::sync::mpsc::Receiver;
-use server::{Server, UnsentMessage};
+use server::{ServerRecord, UnsentMessage};
 use server_releases::ServerRelease;
-use session::Session;
+use session::SessionRecord;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::ControlFlow;
 use std::sync::atomic::Ordering;
@@ -59,59 +61,60 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Messages handled before timers are checked.
+/// Maximum number of messages that are handled before timers are checked.
 const MESSAGE_BATCH: usize = 128;
-/// A set-up is answered at least this long before its viewer times out.
+/// How long before its viewer times out a set-up is answered at the latest.
 const ANSWER_MARGIN: Duration = Duration::from_millis(15);
-/// How much longer than its class's deadline a viewer may wait; a longer wait is out of range.
+/// How far the wait that a viewer requests may exceed its class's deadline. A set-up with a longer wait is invalid.
 const DEADLINE_SLACK: Duration = Duration::from_secs(1);
-/// A release that can't be sent is retried for this long.
+/// How long a release or another message that could not be sent or delivered is retried.
 const RELEASE_RETRY_PERIOD: Duration = Duration::from_secs(8);
 
-/// The event loop's state: the core, and the tables that tie its numbers to connections.
+/// The event loop's state: the core, and tables that map the ids used by the core to connections and sessions.
 pub(crate) struct EventLoop {
     shared: Arc<Shared>,
     core: Core,
     connections: BTreeMap<ConnectionId, Arc<ViewerConnection>>,
-    /// Connections on which a session was established, the latest last.
+    /// Connections on which a session was established, the most recent last.
     session_connections: Vec<ConnectionId>,
-    sessions: BTreeMap<PlayerId, Session>,
+    sessions: BTreeMap<PlayerId, SessionRecord>,
+    /// The core's id of each session in `sessions`, by session id.
     players: HashMap<Tag, PlayerId>,
-    attempts: HashMap<AttemptId, Attempt>,
-    /// Attempts that are dispatched once the core has decided on all that was received.
+    attempts: HashMap<AttemptId, AttemptRecord>,
+    /// Attempts to be dispatched after the core has decided on all messages that were received.
     dispatch_queue: VecDeque<QueuedAttempt>,
-    servers: BTreeMap<ServerId, Server>,
-    links: BTreeMap<LinkId, Link>,
-    /// The list in force.
+    servers: BTreeMap<ServerId, ServerRecord>,
+    links: BTreeMap<LinkId, LinkRecord>,
+    /// The endpoint list in force, without incompatible servers.
     endpoints: BTreeMap<ServerId, Entry>,
-    /// Servers of the last list that do not fit the settings.
+    /// Servers of the last list received whose zone, kind or cell the settings do not name.
     incompatible_servers: Vec<IncompatibleServer>,
     /// Notifications to viewers that no connection accepted.
     unsent_notifications: VecDeque<UnsentMessage>,
-    /// Answers and notifications that a connection accepted.
+    /// Answers and notifications that a connection accepted, retained in case they are not delivered.
     sent_to_viewers: RetainedMessages<ConnectionId, SentMessage>,
-    /// Releases that a link accepted.
+    /// Releases that a link accepted, retained in case they are not delivered.
     sent_to_servers: RetainedMessages<LinkId, ServerRelease>,
-    last_player: u64,
-    last_link: u64,
-    /// The cause that a teardown in progress carries.
+    last_player_id: u64,
+    last_link_id: u64,
+    /// The cause code sent with teardowns: the viewer's own while its request is handled, else [`cause::CANCELLED`].
     release_cause: u16,
-    /// Inputs for the core that came up while its outputs were being carried out.
+    /// Inputs that the core has not been given yet. They queue up while the core's outputs are being executed.
     pending_inputs: VecDeque<Input>,
-    /// Whether the core's outputs are being carried out.
-    is_carrying_out: bool,
+    /// Whether the core's outputs are being executed.
+    is_executing_outputs: bool,
     outputs: Vec<Output>,
-    /// When draining began.
+    /// When draining began; `None` before that.
     drain_started_at: Option<Time>,
-    /// When connections were last looked through to be closed.
+    /// When the node last looked for connections to close while draining; [`Time::MAX`] before the first time.
     last_close_pass: Time,
-    /// Messages taken from the inbox that have not been handled.
+    /// Messages that were taken from the inbox and not yet handled.
     message_queue: VecDeque<InboxMessage>,
 }
 
-/// The longest that a viewer of a class may wait, from the class's deadline in the settings' nanoseconds.
-fn longest_wait(deadline: u64) -> Duration {
-    Duration::from_nanos(deadline.saturating_add(nanoseconds(DEADLINE_SLACK)))
+/// The longest wait that a viewer may request, given its class's deadline in nanoseconds.
+fn longest_wait(deadline_ns: u64) -> Duration {
+    Duration::from_nanos(deadline_ns.saturating_add(nanoseconds(DEADLINE_SLACK)))
 }
 
 fn core_config(shared: &Shared) -> CoreConfig {
@@ -123,11 +126,11 @@
             .collect(),
         answer_margin: ANSWER_MARGIN,
         resume_window: Duration::ZERO,
-        recovered_resume_window: Duration::ZERO, // Nothing is persisted here.
-        max_pending: shared.budget.pending_set_ups,
+        recovered_resume_window: Duration::ZERO, // This node persists nothing that could be recovered.
+        max_pending: shared.budget.max_pending_set_ups,
         max_pending_per_player: 1,
         key_retention: Duration::ZERO,
-        max_retained_keys: 0, // Each set-up has an id of its own.
+        max_retained_keys: 0, // Each set-up has a key of its own.
     }
 }
 
@@ -159,11 +162,11 @@
             unsent_notifications: VecDeque::new(),
             sent_to_viewers: RetainedMessages::new(),
             sent_to_servers: RetainedMessages::new(),
-            last_player: 0,
-            last_link: 0,
+            last_player_id: 0,
+            last_link_id: 0,
             release_cause: cause::CANCELLED,
             pending_inputs: VecDeque::new(),
-            is_carrying_out: false,
+            is_executing_outputs: false,
             outputs: Vec::new(),
             drain_started_at: None,
             last_close_pass: Time::MAX,
@@ -174,30 +177,30 @@
         event_loop
     }
 
-    /// Runs until the node has ended.
+    /// Runs until graceful shutdown is complete, or until all senders of the inbox are gone.
     pub(crate) fn run(mut self, inbox: &Receiver<InboxMessage>) {
         let mut schedule = Schedule::starting_at(clock::now());
-        while !self.has_ended() {
+        while !self.try_complete_shutdown() {
             if self.wait_for_message(inbox, &schedule).is_break() {
                 break;
             }
             self.drain_inbox(inbox);
             self.catch_up_after_stall(inbox);
             let now = clock::now();
-            if schedule.maintenance.is_due(now) {
+            if schedule.maintenance.fire_if_due(now) {
                 self.run_maintenance(now);
             }
             self.decide();
-            self.close_resting_connections();
+            self.close_idle_connections();
             self.trace_load_estimates(now, &mut schedule);
-            if schedule.counts_log.is_due(now) {
+            if schedule.counts_log.fire_if_due(now) {
                 self.log_counts();
             }
         }
         tracing::info!("shutdown complete");
     }
 
-    /// Waits until a message comes or something is due; breaks when the inbox has no sender any more.
+    /// Waits until a message is received or a timer is due; breaks when the inbox has no sender any more.
     fn wait_for_message(
         &mut self,
         inbox: &Receiver<InboxMessage>,
@@ -226,7 +229,7 @@
         }
     }
 
-    /// After the whole process was stalled, handles the messages that came meanwhile before the timers that fell due.
+    /// After the whole process was stalled, handles the messages that arrived meanwhile before the timers that fell due.
     fn catch_up_after_stall(&mut self, inbox: &Receiver<InboxMessage>) {
         let due_at = self.next_core_expiry();
         let stalled = drain_after_stall(due_at, || self.drain_inbox(inbox) == MESSAGE_BATCH);
@@ -239,7 +242,7 @@
         self.core.next_expiry().unwrap_or(Time::MAX)
     }
 
-    /// Handles the queued messages and at most one batch from the inbox; returns how many came from the inbox.
+    /// Handles the queued messages and at most one batch from the inbox; returns the number taken from the inbox.
     fn drain_inbox(&mut self, inbox: &Receiver<InboxMessage>) -> usize {
         let count = drain_queue(inbox, MESSAGE_BATCH, |message| self.enqueue(message));
         while let Some(message) = self.message_queue.pop_front() {
@@ -248,7 +251,7 @@
         count
     }
 
-    /// Queues a message; what was read from a server at once is queued message by message.
+    /// Queues a message. Messages that were read from a server in one piece are queued one by one.
     fn enqueue(&mut self, message: InboxMessage) {
         match message {
             InboxMessage::FromServer(link, messages) => {
@@ -272,7 +275,8 @@
                 received_at,
             } => {
                 self.handle_viewer_message(connection, message, received_at);
-                // Only now: a set-up in it is counted among the pending ones by now.
+                // The count is lowered last: a set-up in the message is then already counted as pending, so the connection has
+                // pending work at any time.
                 if let Some(connection) = self.connections.get(&connection) {
                     connection.queued_messages.fetch_sub(1, Ordering::AcqRel);
                 }
--- a/crates/node/src/event_loop/server.rs
+++ b/crates/node/src/event_loop/server.rs
@@ -1,38 +1,38 @@
-//! A server as the event loop knows it.
+//! The event loop's record of a server.
 use super::server_releases::ServerRelease;
-use crate::health::Health;
+use crate::health::ServerHealth;
 use crate::shared::LinkId;
 use crankpaddle_front::{AttemptId, Time};
 use crankpaddle_node_protocol::Tag;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// A server of the list, or one that left it and still has sessions.
-pub(super) struct Server {
+/// A server of the endpoint list in force, or one that was removed from it and still has attempts or sessions.
+pub(super) struct ServerRecord {
     pub(super) address: SocketAddr,
-    /// Whether the list in force has it.
+    /// Whether the endpoint list in force contains it.
     pub(super) is_listed: bool,
-    pub(super) health: Health,
-    /// Its links, the most recently used last.
+    pub(super) health: ServerHealth,
+    /// Its links in the order of their last use, the most recent last.
     pub(super) links: Vec<LinkId>,
-    /// Attempts at it, in progress or established.
+    /// Attempts at it by session id, in progress or established.
     pub(super) attempts: HashMap<Tag, AttemptId>,
-    /// How many of these are established.
+    /// Number of `attempts` that are established.
     pub(super) established: usize,
-    /// Set-ups that were abandoned, and until when a session is released if the server accepts one late.
+    /// Session ids of abandoned set-ups. If the server accepts one before the given time, its session is released.
     pub(super) abandoned: HashMap<Tag, Time>,
-    /// Messages that no link accepted.
+    /// Messages that no link accepted, in the order in which they are to be sent.
     pub(super) deferred: VecDeque<DeferredMessage>,
 }
 
-/// A message to a server, sent when a link comes up.
+/// A message to a server that is sent when a link is connected.
 pub(super) enum DeferredMessage {
     Release(ServerRelease),
     Other(UnsentMessage),
 }
 
 impl DeferredMessage {
-    /// Until when it may be sent.
+    /// The time after which it is dropped.
     fn expires_at(&self) -> Time {
         match self {
             DeferredMessage::Release(release) => release.retry_until(),
@@ -41,16 +41,16 @@
     }
 }
 
-/// A message that no connection accepted.
+/// A message, already encoded, that no connection has accepted.
 pub(super) struct UnsentMessage {
-    /// Until when sending it is retried.
+    /// The time after which sending is not retried.
     pub(super) expires_at: Time,
     pub(super) bytes: Vec<u8>,
 }
 
-impl Server {
-    pub(super) fn new(address: SocketAddr, health: Health) -> Server {
-        Server {
+impl ServerRecord {
+    pub(super) fn new(address: SocketAddr, health: ServerHealth) -> ServerRecord {
+        ServerRecord {
             address,
             is_listed: true,
             health,
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Removes what has expired.
+    /// Removes abandoned set-ups and deferred messages that have expired.
     pub(super) fn remove_expired(&mut self, now: Time) {
         self.abandoned.retain(|_, expires_at| now < *expires_at);
         self.deferred.retain(|message| now < message.expires_at());
     }
 
-    /// Whether nothing needs it any more.
+    /// Whether the record can be removed: the server is not listed and has no attempts or sessions.
     pub(super) fn is_unused(&self) -> bool {
         !self.is_listed && self.established == 0 && self.attempts.is_empty()
     }
 
-    /// Entries of its tables.
-    pub(super) fn entries(&self) -> usize {
+    /// Number of entries in its tables, for the `entries` count in the log.
+    pub(super) fn entry_count(&self) -> usize {
         self.attempts.len() + self.abandoned.len() + self.deferred.len()
     }
 }
--- a/crates/node/src/event_loop/server_links.rs
+++ b/crates/node/src/event_loop/server_links.rs
@@ -1,6 +1,6 @@
-//! Links to servers: found, opened, written to, and what becomes of attempts on them when they end.
-use super::delivery::Delivery;
-use super::link::Link;
+//! Links to servers: finding, opening, writing and closing them, and ending the attempts on a link that has ended.
+use super::delivery::DeliveryStatus;
+use super::link::LinkRecord;
 use super::server::DeferredMessage;
 use super::server_releases::ServerRelease;
 use super::{EventLoop, UnsentMessage, RELEASE_RETRY_PERIOD};
@@ -13,21 +13,21 @@
 use std::sync::Arc;
 
 impl EventLoop {
-    /// The most recently used link of a server that `accepts` holds for.
+    /// The most recently used link of a server for which `predicate` holds.
     pub(super) fn find_link(
         &self,
         server: ServerId,
-        accepts: impl Fn(&Link) -> bool,
+        predicate: impl Fn(&LinkRecord) -> bool,
     ) -> Option<LinkId> {
         let links = &self.servers.get(&server)?.links;
         links
             .iter()
             .rev()
             .copied()
-            .find(|id| self.links.get(id).is_some_and(&accepts))
+            .find(|id| self.links.get(id).is_some_and(&predicate))
     }
 
-    /// Sends on this link, or on another one of the server, or on the next one that comes up.
+    /// Sends a message on the preferred link if it is open, else on another open link, else on the next link that is connected.
     pub(super) fn send_to_server(
         &mut self,
         server: ServerId,
@@ -53,22 +53,24 @@
         }
     }
 
-    /// Sends on this link, or on another one of the server; the link that accepted it.
+    /// Sends a message on the preferred link if it is open, else on another open link of the server. Returns the link that
+    /// accepted it.
     pub(super) fn try_send_to_server(
         &self,
         server: ServerId,
         preferred: Option<LinkId>,
         bytes: &[u8],
     ) -> Option<LinkId> {
-        let open_preferred = preferred.filter(|id| self.links.get(id).is_some_and(Link::is_open));
-        let link_id = open_preferred.or_else(|| self.find_link(server, Link::is_open));
+        let open_preferred =
+            preferred.filter(|id| self.links.get(id).is_some_and(LinkRecord::is_open));
+        let link_id = open_preferred.or_else(|| self.find_link(server, LinkRecord::is_open));
         let outbox = link_id
             .and_then(|id| self.links.get(&id))
-            .and_then(Link::outbox)?;
+            .and_then(LinkRecord::outbox)?;
         link_id.filter(|_| outbox.push(bytes))
     }
 
-    /// Sends a message when a link to the server comes up, if the list has the server.
+    /// Queues a message until a link to the server is connected. It is dropped if the server is not listed.
     pub(super) fn defer_to_server(&mut self, server: ServerId, message: DeferredMessage) {
         let server = self.servers.get_mut(&server);
         if let Some(server) = server.filter(|server| server.is_listed) {
@@ -76,22 +78,23 @@
         }
     }
 
-    /// Starts to connect to a server, if the list has it.
+    /// Starts a connect to a server; `None` if the server is not listed.
     pub(super) fn connect(&mut self, id: ServerId) -> Option<LinkId> {
         let server = self.servers.get_mut(&id)?;
         if !server.is_listed {
             return None;
         }
-        self.last_link += 1;
-        let link = LinkId(self.last_link);
+        self.last_link_id += 1;
+        let link = LinkId(self.last_link_id);
         server.links.insert(0, link);
-        self.links.insert(link, Link::connecting(id, clock::now()));
+        self.links
+            .insert(link, LinkRecord::connecting(id, clock::now()));
         server_connector::connect(&self.shared, link, server.address);
         Some(link)
     }
 
-    /// Closes the link that has been idle and silent for longest, so that another can be opened; false if there is none. A server
-    /// with established sessions keeps its last link.
+    /// Closes the idle link that has received nothing for the longest time, so that another can be opened; false if there is
+    /// none. A server with established sessions keeps its last link.
     pub(super) fn close_idle_link(&mut self) -> bool {
         let idle_link = |id: &LinkId| {
             let link = self.links.get(id)?;
@@ -118,7 +121,7 @@
     ) {
         let now = clock::now();
         let Some(link) = self.links.get(&id) else {
-            // It was closed meanwhile.
+            // The link was closed while the connect was in progress.
             if let Ok(outbox) = result {
                 outbox.socket().close(CloseReason::NotNeeded);
             }
@@ -153,7 +156,7 @@
         let has_link = self
             .find_link(server, |link| !link.is_connecting())
             .is_some();
-        // Why: a process that is shutting down may close its listener while its sessions still run; its open links show that.
+        // A process that is shutting down may close its listener while its sessions still run. Its open links show that.
         let may_still_run = has_link && failure == ConnectFailure::Refused;
         if is_lost && !may_still_run {
             self.server_lost(server);
@@ -182,8 +185,8 @@
         }
     }
 
-    /// A link that was opened only to check whether the server is alive is up: others with nothing pending are closed, as the
-    /// cause of the server's silence may be in them.
+    /// Closes a server's other links on which nothing is pending, after a link was connected to check whether the server is
+    /// alive. The server's silence may be due to the older links.
     fn close_older_links(&mut self, newest: LinkId, server: ServerId) {
         let Some(server) = self.servers.get(&server) else {
             return;
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Queues the attempts that wait for a link to come up for dispatch, on it or on another.
+    /// Queues the attempts that wait for a link to connect for dispatch, on this link or on another.
     fn requeue_pending(&mut self, id: LinkId) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
@@ -233,20 +236,21 @@
             .links
             .iter()
             .copied()
-            .filter(|id| self.links.get(id).is_some_and(Link::is_connecting))
+            .filter(|id| self.links.get(id).is_some_and(LinkRecord::is_connecting))
             .collect()
     }
 
-    /// Checks the attempts that wait for a connect to this server again, before it completes.
+    /// Queues the attempts that wait for a connect to a server for dispatch, so that they are checked again before the connect
+    /// completes.
     pub(super) fn requeue_connecting(&mut self, server: ServerId) {
         for link in self.connecting_links(server) {
             self.requeue_pending(link);
         }
     }
 
-    /// Cancels the connects to a server that are in progress; attempts that wait for them are assigned another link.
+    /// Cancels the connects to a server that are in progress, and queues the attempts that wait for them for dispatch.
     ///
-    /// Why: the address may be another server's by now, which must not get these set-ups.
+    /// The server's address may be another server's by now, which must not get these set-ups.
     pub(super) fn cancel_connects(&mut self, server: ServerId) {
         for link in self.connecting_links(server) {
             self.requeue_pending(link);
@@ -265,8 +269,8 @@
         }
     }
 
-    /// The reader of a link has ended. If this node had not closed it before, releases on it may have to be sent again.
-    pub(super) fn link_closed(&mut self, id: LinkId, end: LinkEnd, delivery: Delivery) {
+    /// Handles the end of a link's reader. If this node had not closed the link before, releases may have to be sent again.
+    pub(super) fn link_closed(&mut self, id: LinkId, end: LinkEnd, delivery: DeliveryStatus) {
         let is_ended_by_server = self.links.contains_key(&id);
         self.link_ended(id, end);
         if is_ended_by_server {
@@ -278,18 +282,19 @@
         self.link_ended(id, LinkEnd::ByNode(reason));
     }
 
-    /// A link has ended: attempts on it end, each once.
+    /// Removes a link that has ended, and ends each attempt on it once.
     ///
-    /// Why there are two outcomes: when a process dies its connections break, and after `Reset` the policy treats the server as
-    /// warming up. But one connection may break, or carry malformed bytes, while the process lives, which the malformed bytes
-    /// or another open link show; then the outcome is `ServerError`. In both cases the set-up may have run. The cost: if a
-    /// dying process closes its connections one by one, the first may be taken for a fault of that connection alone.
+    /// There are two outcomes. When a process dies, its connections break, and after the outcome `Reset` the policy treats the
+    /// server as warming up. A single connection may also break or carry malformed bytes while the process lives, which the
+    /// malformed bytes or another open link show; then the outcome is `ServerError`. In both cases the set-up may have run. The
+    /// drawback: if a dying process closes its connections one by one, the first may be taken for a fault of that connection
+    /// alone.
     pub(super) fn link_ended(&mut self, id: LinkId, end: LinkEnd) {
         let Some(link) = self.links.remove(&id) else {
             return;
         };
         let server_id = link.server;
-        let is_alive = |link: &Link| link.is_open() && link.is_responsive();
+        let is_alive = |link: &LinkRecord| link.is_open() && link.is_responsive();
         let server_is_alive = end == LinkEnd::Malformed
             || !link.pending.is_empty() && self.find_link(server_id, is_alive).is_some();
         let outcome = if server_is_alive {
@@ -317,10 +322,10 @@
         for attempt in link.pending {
             self.fail_pending(attempt, server_id, outcome);
         }
-        self.ensure_observed(server_id, clock::now());
+        self.ensure_monitored(server_id, clock::now());
     }
 
-    /// Ends an attempt without an answer whose link has ended.
+    /// Ends an attempt that has no answer, because its link has ended.
     fn fail_pending(&mut self, id: AttemptId, server: ServerId, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
@@ -331,7 +336,7 @@
         }
         let session_id = attempt.session_id;
         self.complete_set_up(id, outcome, LoadReport::new());
-        // Why: the response may have been on its way, and the session would play there without a viewer.
+        // The server may have accepted the set-up, and the session would play there without a viewer.
         let release = ServerRelease::new(server, session_id, cause::CUT);
         self.release_at_server(None, release);
     }
--- a/crates/node/src/event_loop/server_liveness.rs
+++ b/crates/node/src/event_loop/server_liveness.rs
@@ -1,13 +1,15 @@
-//! Checks whether servers with sessions are alive, and ends the sessions at those that are not.
-use super::{EventLoop, Link};
+//! Checks whether servers with sessions are alive, and ends the sessions at servers that are not.
+use super::{EventLoop, LinkRecord};
 use crankpaddle_front::{AttemptId, AttemptOutcome, Input, LoadReport, ServerId, Time};
 use crankpaddle_net::CloseReason;
 
 impl EventLoop {
-    /// Connects to a server from which messages are needed if it has no link or is silent.
-    pub(super) fn ensure_observed(&mut self, id: ServerId, now: Time) {
-        let has_link = self.find_link(id, Link::is_responsive).is_some();
-        let is_connecting = self.find_link(id, Link::is_connecting).is_some();
+    /// Connects to a server with sessions or deferred messages if it has no link or is silent.
+    ///
+    /// A server that is not listed is not connected to. It is lost when its last link has ended.
+    pub(super) fn ensure_monitored(&mut self, id: ServerId, now: Time) {
+        let has_link = self.find_link(id, LinkRecord::is_responsive).is_some();
+        let is_connecting = self.find_link(id, LinkRecord::is_connecting).is_some();
         let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
@@ -18,20 +20,20 @@
             return;
         }
         let is_needed = server.established > 0 || !server.deferred.is_empty();
-        let wants_connect =
-            is_needed && !is_connecting && server.health.wants_connect(now, has_link);
-        if wants_connect && (self.has_link_capacity() || self.close_idle_link()) {
+        let should_connect =
+            is_needed && !is_connecting && server.health.should_connect(now, has_link);
+        if should_connect && (self.has_link_capacity() || self.close_idle_link()) {
             self.connect(id);
         }
     }
 
-    /// The list reports that a server began a new incarnation at `started_at`, or has another address now: sessions of the
-    /// previous incarnation have ended.
+    /// Ends the sessions and closes the links of a server's previous incarnation, when the endpoint list reports that a new one
+    /// began at `started_at` or that the server has another address.
     ///
-    /// Why: a machine that failed and restarted sends nothing about its previous incarnation, while messages of the new one show
-    /// that it is alive; sessions of the previous one would never end here, and set-ups and releases would be written to dead
-    /// connections. The list may be late, so sessions that were set up after `started_at` go on. If the server's clock is
-    /// ahead of ours, sessions that it set up in the time by which it is ahead end too.
+    /// A machine that failed and restarted sends nothing about its previous incarnation, while messages of the new one show
+    /// that it is alive. Sessions of the previous incarnation would therefore never end here, and set-ups and releases would be
+    /// written to dead connections. The list may be late, so sessions that were set up after `started_at` go on. If the
+    /// server's clock is ahead of this node's, sessions that were set up within that difference end too.
     pub(super) fn new_incarnation(&mut self, id: ServerId, started_at: Time, has_moved: bool) {
         if has_moved {
             self.cancel_connects(id);
@@ -55,7 +57,7 @@
         }
     }
 
-    /// A server is lost: all sessions there have ended.
+    /// Ends all sessions at a server that is lost, and closes its links.
     pub(super) fn server_lost(&mut self, id: ServerId) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -67,8 +69,12 @@
         self.close_links(id, CloseReason::PeerReplaced);
     }
 
-    /// The ids of the established attempts at a server whose set-up was sent at a time for which `sent` holds, in order.
-    fn established_attempts(&self, id: ServerId, sent: impl Fn(Time) -> bool) -> Vec<AttemptId> {
+    /// The established attempts at a server for whose time of sending `predicate` holds, in ascending order of their ids.
+    fn established_attempts(
+        &self,
+        id: ServerId,
+        predicate: impl Fn(Time) -> bool,
+    ) -> Vec<AttemptId> {
         let Some(server) = self.servers.get(&id) else {
             return Vec::new();
         };
@@ -79,14 +85,14 @@
             .filter(|attempt| {
                 self.attempts
                     .get(attempt)
-                    .is_some_and(|attempt| attempt.state.is_established_and_sent(&sent))
+                    .is_some_and(|attempt| attempt.state.is_established_and_sent(&predicate))
             })
             .collect();
         established.sort_unstable();
         established
     }
 
-    /// Ends sessions that were lost with their server.
+    /// Ends sessions that were lost with their server, and reports them to the core.
     fn end_sessions(&mut self, server: ServerId, lost: Vec<AttemptId>) {
         if !lost.is_empty() {
             tracing::info!(server_id = server.0, sessions = lost.len(), "server lost");
--- a/crates/node/src/event_loop/server_messages.rs
+++ b/crates/node/src/event_loop/server_messages.rs
@@ -1,4 +1,4 @@
-//! What servers send: responses to set-ups and health checks, updates on sessions, releases.
+//! Handling of messages from servers: responses to set-ups and health checks, session updates, and releases.
 use super::session::RemovalReason;
 use super::EventLoop;
 use crate::shared::LinkId;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A server releases a session.
+    /// Acknowledges a server's release of a session, and ends the attempt that it belongs to.
     fn handle_release(
         &mut self,
         link: LinkId,
@@ -94,17 +94,18 @@
         let outcome = release_outcome(message);
         self.remove_attempt(id);
         if outcome == AttemptOutcome::Cancelled {
-            self.remove_session(player, RemovalReason::EndedAtServer); // The viewer ended it, or it was migrated: the viewer is sent no release.
+            // The viewer ended the session or it was migrated, so the viewer is not notified.
+            self.remove_session(player, RemovalReason::EndedAtServer);
         }
         self.notify_core(Input::SessionEnded(id, outcome, report));
     }
 
-    /// The figures of a message's load report that the settings name, in their order.
+    /// The values of a message's load report for the fields that the settings name, in the order of the settings.
     pub(super) fn load_report(&self, message: &rtsp::Message) -> LoadReport {
-        let figures = message.load_report();
+        let reported = message.load_report();
         let value_of = |name: &str| {
-            let figure = figures.iter().find(|figure| figure.name == name)?;
-            Some(figure.value)
+            let field = reported.iter().find(|field| field.name == name)?;
+            Some(field.value)
         };
         let fields = &self.shared.config.fleet.fields;
         fields
@@ -114,7 +115,7 @@
     }
 }
 
-/// How an established session ended.
+/// The outcome of an established session that its server releases.
 pub(super) fn release_outcome(release: &rtsp::Message) -> AttemptOutcome {
     match release.cause() {
         Some(cause::NORMAL) => AttemptOutcome::Completed,
@@ -123,7 +124,7 @@
     }
 }
 
-/// An update in the core's terms; the names are the server protocol's.
+/// Converts a server's update into the core's; `None` for a name that the protocol does not define.
 fn session_update(figure: Figure<'_>) -> Option<SessionUpdate> {
     let value = figure.value;
     Some(match figure.name {
--- a/crates/node/src/event_loop/set_up_responses.rs
+++ b/crates/node/src/event_loop/set_up_responses.rs
@@ -1,4 +1,4 @@
-//! Responses of servers to set-ups.
+//! Handling of servers' responses to set-ups.
 use super::server_messages::release_outcome;
 use super::server_releases::ServerRelease;
 use super::EventLoop;
@@ -11,19 +11,20 @@
 use crankpaddle_node_protocol::viewers::cause;
 use crankpaddle_node_protocol::Tag;
 
-/// A release that was read together with the answer before it.
+/// A server's release of a session that was read together with the response that accepted it.
 struct ImmediateRelease {
     outcome: AttemptOutcome,
     report: LoadReport,
 }
 
 impl EventLoop {
-    /// `known`: the attempt that the server has under the session of the response.
+    /// Handles a response to a set-up. `known_attempt` is the attempt that this node has at the server for the session that the
+    /// response names.
     pub(super) fn handle_set_up_response(
         &mut self,
         link: LinkId,
         server: ServerId,
-        known: Option<AttemptId>,
+        known_attempt: Option<AttemptId>,
         status: u16,
         message: &rtsp::Message,
     ) {
@@ -33,11 +34,11 @@
             server_id = server.0,
             session_id = message.session.map(display),
             status,
-            known = known.is_some(),
+            known = known_attempt.is_some(),
             "set-up response received"
         );
-        let Some(attempt) = known.filter(|id| self.is_awaiting_answer_on(*id, link)) else {
-            let is_accepted_unknown = known.is_none() && status == status::OK;
+        let Some(attempt) = known_attempt.filter(|id| self.is_awaiting_answer_on(*id, link)) else {
+            let is_accepted_unknown = known_attempt.is_none() && status == status::OK;
             return self.handle_unexpected_response(link, server, is_accepted_unknown, message);
         };
         let report = self.load_report(message);
@@ -45,15 +46,15 @@
             return self.complete_set_up(attempt, failure_outcome(status), report);
         }
         let Some(description) = message.text() else {
-            // The set-up ran, but its description can't be passed on in a viewer's line.
+            // The set-up ran, but its description is not text and can't be passed on to the viewer.
             increment(&self.shared.drop_counters.broken_links);
             return self.link_ended(link, LinkEnd::Malformed);
         };
-        self.set_answered_description(attempt, description);
-        // Why: a session may have ended when its response is read: a viewer leaves at once if far too little is delivered, and
-        // the release follows the response directly. The message that the session is established would then reach a viewer that
-        // has left, and count as no answer at all. Only a release that was read together with the response is found.
-        if let Some(release) = self.release_behind(server, message.session) {
+        self.set_server_description(attempt, description);
+        // A session may have ended by the time its response is read: a viewer leaves at once if far too little is delivered,
+        // and the release then follows the response directly. A message that the session is established would reach a viewer
+        // that has left, and count as no answer at all. Only a release that was read together with the response is found here.
+        if let Some(release) = self.find_immediate_release(server, message.session) {
             self.notify_core(Input::SessionEnded(
                 attempt,
                 release.outcome,
@@ -72,8 +73,8 @@
             .is_some_and(|attempt| attempt.state.is_awaiting_answer_on(link))
     }
 
-    /// Releases the session if its set-up was abandoned and the server accepted it after all. Any other response that no attempt
-    /// waits for, and a second response to one set-up, is dropped.
+    /// Handles a response that no attempt waits for: releases the session if its set-up was abandoned and the server accepted
+    /// it after all. Any other such response is dropped and counted, as is a second response to one set-up.
     fn handle_unexpected_response(
         &mut self,
         link: LinkId,
@@ -91,22 +92,24 @@
         increment(&self.shared.drop_counters.unexpected_responses);
     }
 
+    /// Removes an abandoned set-up from the server's table; false if the session id is not in it.
     fn take_abandoned(&mut self, server: ServerId, session_id: Tag) -> bool {
         self.servers
             .get_mut(&server)
             .is_some_and(|server| server.abandoned.remove(&session_id).is_some())
     }
 
-    /// Keeps the server's description for the answer.
+    /// Stores the server's description of the session for the answer to the viewer.
     ///
-    /// Why it is set before the core is notified: every answer that reports the session as established must carry it. For
-    /// sessions that had ended already the viewer's own description was sent, and the session counted as never answered.
-    fn set_answered_description(&mut self, attempt: AttemptId, description: &str) {
+    /// It is set before the core is notified, because every answer that reports a session as established must carry it. When it
+    /// was set later, viewers whose session had ended already were sent their own description, and the session counted as never
+    /// answered.
+    fn set_server_description(&mut self, attempt: AttemptId, description: &str) {
         let Some(attempt) = self.attempts.get(&attempt) else {
             return;
         };
         if let Some(session) = self.sessions.get_mut(&attempt.player) {
-            session.set_answered_description(description);
+            session.set_server_description(description);
         }
     }
 
@@ -121,7 +124,7 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.state = attempt.state.accepted();
+        attempt.state = attempt.state.to_established();
         if let Some(link) = self.links.get_mut(&link) {
             link.pending.retain(|pending| *pending != id);
         }
@@ -132,8 +135,12 @@
         self.notify_core(Input::SetUpCompleted(id, SetUpResult::Started(report)));
     }
 
-    /// The release of this session by its server, if it was read together with the message that is being handled.
-    fn release_behind(&self, server: ServerId, session: Option<Tag>) -> Option<ImmediateRelease> {
+    /// The server's release of this session, if it was read together with the message that is being handled.
+    fn find_immediate_release(
+        &self,
+        server: ServerId,
+        session: Option<Tag>,
+    ) -> Option<ImmediateRelease> {
         let is_of_server = |link| {
             self.links
                 .get(link)
@@ -156,7 +163,7 @@
     }
 }
 
-/// What a response that does not accept a set-up means for the attempt.
+/// The outcome of an attempt whose set-up was answered with a status other than OK.
 fn failure_outcome(status: u16) -> AttemptOutcome {
     match status {
         status::NOT_ENOUGH_BANDWIDTH => AttemptOutcome::Rejected,
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -1,79 +1,83 @@
-//! Failure detection: what a server's messages and silence mean for the sessions that are established there.
+//! Failure detection for servers with sessions, based on what is received from them and on the outcome of connects.
 //!
 //! When a process dies, the kernel resets its connections; when a machine fails, nothing more is received from it. A server
 //! with sessions sends updates every few seconds, so one that is silent for longer is checked by a connect: a server that
 //! accepts it is alive, even if it hangs.
 //!
-//! Why: sessions at a failed machine would otherwise never end here. The cost: on a network that drops two connects in a row,
-//! sessions that still play are ended.
+//! Without this check, sessions at a failed machine would never end here. The drawback: on a network that drops two connects
+//! in a row, sessions that still play are ended.
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// Silence that is tolerated beyond the time between two updates.
+/// Silence that is tolerated in addition to the interval between updates.
 const SILENCE_GRACE: Duration = Duration::from_millis(500);
-/// Time between updates where the settings name none.
+/// Interval between updates if the settings name none.
 const DEFAULT_UPDATE_INTERVAL: Duration = Duration::from_secs(4);
-/// Connects in a row without a response after which a machine is taken for failed.
-const MAX_MISSED_CONNECTS: u32 = 2;
-/// Backoff after a failed connect.
+/// Number of consecutive connects without a response after which a machine is considered failed.
+const MAX_UNANSWERED_CONNECTS: u32 = 2;
+/// Time without further connects after one that was refused or could not be tried.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(200);
-/// A connect may take so long at least, whatever the settings name.
+/// Lower bound of the connect timeout, whatever the settings name.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
-/// A connect may take so long at most, whatever the settings name.
+/// Upper bound of the connect timeout, whatever the settings name.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a connect failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectFailure {
-    /// No process listens there: the server is dead.
+    /// No process listens at the address, so the server process has ended.
     Refused,
-    /// Nothing was received in time.
+    /// Nothing was received within the timeout.
     NoResponse,
-    /// This machine could not even try, which proves nothing about the server.
+    /// This machine could not start the connect, which tells nothing about the server.
     Local,
 }
 
-/// What is known of one server.
+/// The state of failure detection for one server.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Health {
-    /// Silence for longer than this makes the server be checked.
+pub(crate) struct ServerHealth {
+    /// A server that is silent for longer is checked by a connect.
     max_silence: Duration,
     last_received: Time,
-    missed_connects: u32,
-    /// No connect before this time.
+    /// Number of consecutive connects without a response.
+    unanswered_connects: u32,
+    /// The time before which no connect is made.
     backoff_until: Time,
 }
 
-impl Health {
-    /// A server that is new at `now`; `update_interval`: time between its updates, if the settings name one.
-    pub(crate) fn new(now: Time, update_interval: Option<Duration>) -> Health {
+impl ServerHealth {
+    /// The state for a server that is first listed at `now`. `update_interval` is the interval between its updates, if the
+    /// settings name one.
+    pub(crate) fn new(now: Time, update_interval: Option<Duration>) -> ServerHealth {
         let interval = update_interval.unwrap_or(DEFAULT_UPDATE_INTERVAL);
-        Health {
+        ServerHealth {
             max_silence: interval.saturating_add(SILENCE_GRACE),
             last_received: now,
-            missed_connects: 0,
+            unanswered_connects: 0,
             backoff_until: Time::ZERO,
         }
     }
 
-    /// Something was received from it.
+    /// Records that something was received from the server.
     pub(crate) fn record_received(&mut self, now: Time) {
         self.last_received = now;
-        self.missed_connects = 0;
+        self.unanswered_connects = 0;
     }
 
-    /// A session is established there. Silence before that does not count: a server without sessions sends nothing.
+    /// Records that a session was established at the server. Silence before that does not count, because a server without
+    /// sessions sends nothing.
     pub(crate) fn session_established(&mut self, now: Time) {
         self.last_received = self.last_received.max(now);
     }
 
-    /// Whether to connect, to receive messages about the sessions there. `has_link`: there is a connection already.
-    pub(crate) fn wants_connect(&self, now: Time, has_link: bool) -> bool {
+    /// Whether to connect in order to receive messages about the sessions at the server. `has_link` tells whether there is a
+    /// connection already.
+    pub(crate) fn should_connect(&self, now: Time, has_link: bool) -> bool {
         let is_silent = now.duration_since(self.last_received) > self.max_silence;
         now >= self.backoff_until && (!has_link || is_silent)
     }
 
-    /// A connect completed; true if the sessions there are lost.
+    /// Records the outcome of a connect; true if the sessions at the server are lost.
     pub(crate) fn connect_completed(
         &mut self,
         now: Time,
@@ -93,14 +97,14 @@
                 false
             }
             Err(ConnectFailure::NoResponse) => {
-                self.missed_connects += 1;
-                self.missed_connects >= MAX_MISSED_CONNECTS
+                self.unanswered_connects += 1;
+                self.unanswered_connects >= MAX_UNANSWERED_CONNECTS
             }
         }
     }
 }
 
-/// How long a connect may take: what the settings name, within bounds.
+/// The connect timeout: the one in the settings, within bounds.
 pub(crate) fn connect_timeout(setting: Duration) -> Duration {
     setting.clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
 }
--- a/crates/node/src/health/tests.rs
+++ b/crates/node/src/health/tests.rs
@@ -7,17 +7,17 @@
 
 #[test]
 fn a_silent_server_is_connected_to_and_lost_after_two_connects_without_response() {
-    let mut health = Health::new(at(10), Some(Duration::from_secs(3)));
+    let mut health = ServerHealth::new(at(10), Some(Duration::from_secs(3)));
     assert!(
-        !health.wants_connect(at(13), true),
+        !health.should_connect(at(13), true),
         "between two updates silence is usual"
     );
-    assert!(health.wants_connect(at(14), true));
+    assert!(health.should_connect(at(14), true));
     assert!(
         !health.connect_completed(at(14), Err(ConnectFailure::NoResponse)),
         "one lost connect is no proof"
     );
-    assert!(health.wants_connect(at(14), true));
+    assert!(health.should_connect(at(14), true));
     assert!(health.connect_completed(
         at(14) + Duration::from_nanos(1),
         Err(ConnectFailure::NoResponse)
@@ -26,19 +26,19 @@
 
 #[test]
 fn a_server_that_accepts_is_alive_and_one_that_refuses_is_lost() {
-    let mut health = Health::new(at(0), None);
-    assert!(health.wants_connect(at(5), true));
+    let mut health = ServerHealth::new(at(0), None);
+    assert!(health.should_connect(at(5), true));
     assert!(!health.connect_completed(at(5), Err(ConnectFailure::NoResponse)));
     assert!(!health.connect_completed(at(5), Ok(())));
-    assert!(!health.wants_connect(at(6), true));
+    assert!(!health.should_connect(at(6), true));
     assert!(
         !health.connect_completed(at(6), Err(ConnectFailure::NoResponse)),
         "misses count in a row only"
     );
     assert!(health.connect_completed(at(7), Err(ConnectFailure::Refused)));
     assert!(
-        !health.wants_connect(at(7), false),
+        !health.should_connect(at(7), false),
         "a refused connect is not retried at once"
     );
-    assert!(health.wants_connect(at(8), false));
+    assert!(health.should_connect(at(8), false));
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,16 +1,15 @@
-//! The front node: the session front's core on the platform's sockets.
+//! The front node: runs the session front's core on TCP connections to viewers and servers, and on the platform's directory.
 //!
-//! One coroutine, the event loop, owns the core and handles all messages; each other coroutine reads one socket, passes
-//! its messages to the event loop, and writes what the event loop has queued for that socket. The placement policy behind
-//! [`crankpaddle_front::Core`] chooses servers, rungs, retries, rejections and retry advice; nothing here chooses any of
-//! them.
+//! One coroutine, the event loop, owns the core and handles all messages. Each other coroutine reads one socket, passes its
+//! messages to the event loop, and writes what the event loop has queued for that socket. The placement policy behind
+//! [`crankpaddle_front::Core`] chooses servers, rungs, retries, rejections and retry advice; this crate chooses none of them.
 //!
-//! - `event_loop`: all messages in one order, and what is done about each;
-//! - `viewer_reader`, `viewer_connection`, `connection_table`: the viewers' connections;
-//! - `server_connector`: connections to servers;
-//! - `directory_poller`: the directory;
-//! - `health`: what a server's silence means for the sessions there, pure;
-//! - `budget`: what the machine's limits leave for each of them, pure.
+//! - `event_loop`: handling of all messages, one after the other
+//! - `viewer_reader`, `viewer_connection`, `connection_table`: viewers' connections
+//! - `server_connector`: connections to servers
+//! - `directory_poller`: polling of the directory
+//! - `health`: failure detection for servers, without I/O
+//! - `budget`: bounds on connections, set-ups and buffers, without I/O
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod budget;
@@ -33,7 +32,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc, Mutex, PoisonError};
 
-/// The event loop has panicked; the panic itself is on standard error.
+/// The event loop has panicked. The panic's message was written to standard error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the event loop has panicked, nothing is answered any more")]
 pub struct EventLoopPanicked;
@@ -42,20 +41,22 @@
 pub struct Node {
     address: SocketAddr,
     shared: Arc<Shared>,
+    /// Ends the thread that polls the directory when it is set.
     stopped: Arc<AtomicBool>,
-    done: Mutex<mpsc::Receiver<()>>,
+    /// Receives a message when the event loop has ended, and an error when it has panicked.
+    event_loop_ended: Mutex<mpsc::Receiver<()>>,
 }
 
 impl Node {
-    /// Starts a node: it takes set-ups when this returns. [`crankpaddle_net::start`] must have been called before.
+    /// Starts a node, which accepts set-ups when this returns. [`crankpaddle_net::start`] must have been called before.
     ///
     /// # Errors
-    /// Its address can't be listened on, or the directory can't be polled.
+    /// The configured address can't be listened on, or the directory can't be polled.
     pub fn start(config: Config) -> io::Result<Node> {
         Node::start_observed(config, None)
     }
 
-    /// The same, and shows each event to `observer` before the policy gets it.
+    /// Starts a node like [`Node::start`]. `observer` is called with each event before the policy gets it.
     ///
     /// # Errors
     /// As [`Node::start`].
@@ -63,13 +64,13 @@
         let listener = listen(config.listen)?;
         let address = listener.local_addr()?;
         let (shared, inbox) = Shared::new(config);
-        let (finished, done) = mpsc::channel();
+        let (end_sender, event_loop_ended) = mpsc::channel();
         let stopped = Arc::new(AtomicBool::new(false));
         let event_loop = EventLoop::new(shared.clone(), observer);
         directory_poller::start(shared.clone(), stopped.clone())?;
         spawn(Stack::Large, move || {
             event_loop.run(&inbox);
-            let _ = finished.send(()); // The node may have been dropped.
+            let _ = end_sender.send(()); // The node may have been dropped.
         });
         let (for_slots, for_viewers) = (shared.clone(), shared.clone());
         let acceptor = accept_while_capacity(
@@ -83,41 +84,41 @@
             address,
             shared,
             stopped,
-            done: Mutex::new(done),
+            event_loop_ended: Mutex::new(event_loop_ended),
         })
     }
 
-    /// The address that it listens on.
+    /// The address that the node listens on. Its port is the one that the system chose if the configured port is 0.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Applies the one setting that may change while the node runs: the directory's address.
+    /// Applies the only setting that may change while the node runs: the directory's address.
     ///
-    /// Why: a file of another node or customer, put in place by mistake, names a directory that lists another fleet. So a file
-    /// in which anything else differs is rejected as a whole. If other settings have changed too, the new address also
-    /// applies only after a restart.
+    /// A file of another node or customer that is put in place by mistake names a directory that lists another fleet, so a file
+    /// in which anything else differs is rejected as a whole. If other settings have changed too, the new address also applies
+    /// only after a restart.
     ///
     /// # Errors
-    /// The configuration is not this node's; the one in force stays as it is.
+    /// Something other than the directory's address differs; the configuration in force stays as it is.
     pub fn reload(&self, config: &Config) -> Result<(), Mismatch> {
         self.shared.config.check_reload(config)?;
         self.shared.set_nameserver(config.nameserver);
         Ok(())
     }
 
-    /// Begins a graceful shutdown: no new set-ups from now on, and the end when no work is pending any more.
+    /// Begins a graceful shutdown: new set-ups are rejected from now on, and the node ends when no work is pending.
     pub fn drain(&self) {
         self.shared.send(InboxMessage::Drain);
     }
 
-    /// Waits for the end that [`Node::drain`] brings. Call on a thread, not in a coroutine.
+    /// Blocks until the shutdown that [`Node::drain`] begins is complete. It must be called on a thread, not in a coroutine.
     ///
     /// # Errors
-    /// The event loop has panicked: nothing is answered any more, and the process is to end.
+    /// The event loop has panicked. The node answers nothing any more, so the process should end.
     pub fn wait(&self) -> Result<(), EventLoopPanicked> {
         let result = self
-            .done
+            .event_loop_ended
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .recv();
@@ -125,7 +126,8 @@
         result.map_err(|_| EventLoopPanicked)
     }
 
-    /// What the node holds now. All counts return to zero when no connection and no session is left.
+    /// The current numbers of set-ups, sessions and connections. All of them return to zero when no connection and no session
+    /// is left.
     pub fn counts(&self) -> Counts {
         self.shared.counts()
     }
--- a/crates/node/src/server_connector.rs
+++ b/crates/node/src/server_connector.rs
@@ -1,5 +1,5 @@
-//! Connections to servers: one coroutine connects and then reads.
-use crate::event_loop::delivery::Delivery;
+//! Connects to servers and reads their messages, with one coroutine for each connection.
+use crate::event_loop::delivery::DeliveryStatus;
 use crate::health::{connect_timeout, ConnectFailure};
 use crate::shared::{increment, InboxMessage, LinkEnd, LinkId, Shared};
 use crankpaddle_net::{spawn, CloseReason, ReadEnd, Socket, Stack, WriteBuffer};
@@ -10,19 +10,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes read from the kernel at once; then other coroutines run.
-const READ_SIZE: usize = 4096;
+/// Maximum number of bytes read at once before other coroutines get to run.
+const READ_BYTES: usize = 4096;
 
-/// Connects to a server and reads what it sends; the event loop is sent the outcome, the messages, and the end.
+/// Starts a coroutine that connects to a server and reads its messages. The event loop is sent the outcome of the connect, the
+/// messages, and how the connection ended.
 pub(crate) fn connect(shared: &Arc<Shared>, link: LinkId, address: SocketAddr) {
-    shared.links.fetch_add(1, Ordering::Relaxed);
+    shared.link_descriptors.fetch_add(1, Ordering::Relaxed);
     let shared = shared.clone();
     spawn(Stack::Usual, move || {
         let timeout = connect_timeout(Duration::from_nanos(shared.config.fleet.connect_timeout));
         match Socket::connect(&address, timeout) {
             Ok(socket) => serve(socket, link, &shared),
             Err(error) => {
-                shared.links.fetch_sub(1, Ordering::Relaxed);
+                shared.link_descriptors.fetch_sub(1, Ordering::Relaxed);
                 let failure = connect_failure(&error);
                 shared.send(InboxMessage::ConnectCompleted(link, Err(failure)));
             }
@@ -40,20 +41,23 @@
     }
 }
 
-/// Reads a connection that is up until it ends.
+/// Reads an established connection until it ends.
 fn serve(socket: Socket, link: LinkId, shared: &Shared) {
-    let outbox = Arc::new(WriteBuffer::new(Arc::new(socket), shared.budget.outbox));
+    let outbox = Arc::new(WriteBuffer::new(
+        Arc::new(socket),
+        shared.budget.max_outbox_bytes,
+    ));
     shared.send(InboxMessage::ConnectCompleted(link, Ok(outbox.clone())));
     let (end, delivery) = read_messages(&outbox, link, shared);
     outbox.socket().close(CloseReason::ReadEnded);
-    shared.links.fetch_sub(1, Ordering::Relaxed);
+    shared.link_descriptors.fetch_sub(1, Ordering::Relaxed);
     shared.send(InboxMessage::LinkClosed(link, end, delivery));
 }
 
-fn read_messages(outbox: &WriteBuffer, link: LinkId, shared: &Shared) -> (LinkEnd, Delivery) {
+fn read_messages(outbox: &WriteBuffer, link: LinkId, shared: &Shared) -> (LinkEnd, DeliveryStatus) {
     let mut decoder = Decoder::default();
     let mut messages = Vec::new();
-    let end = outbox.read_each::<READ_SIZE>(|bytes| {
+    let end = outbox.read_each::<READ_BYTES>(|bytes| {
         let decoded = decoder.feed(bytes, &mut messages);
         if !messages.is_empty() {
             let complete = std::mem::take(&mut messages);
@@ -65,7 +69,7 @@
         }
         decoded.is_ok()
     });
-    let delivery = Delivery::at_end(end, outbox);
+    let delivery = DeliveryStatus::at_end(end, outbox);
     if end == ReadEnd::Stopped || decoder.has_partial_message() {
         (LinkEnd::Malformed, delivery)
     } else {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,7 +1,7 @@
-//! What all parts of a node share: the event loop's inbox, the viewers' connections, counters.
-use crate::budget::Budget;
+//! State that all coroutines of a node share: the event loop's inbox, the table of viewers' connections, and counters.
+use crate::budget::ResourceBudget;
 use crate::connection_table::ConnectionTable;
-use crate::event_loop::delivery::Delivery;
+use crate::event_loop::delivery::DeliveryStatus;
 use crate::health::ConnectFailure;
 use crate::viewer_connection::{ConnectionId, ViewerConnection};
 use crankpaddle_net::{AcceptHandle, CloseReason, IdleSweeper, ReadEnd, WriteBuffer};
@@ -15,7 +15,7 @@
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::time::Duration;
 
-/// A connection to a server; never used twice.
+/// The id of a connection to a server. Ids are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LinkId(pub(crate) u64);
 
@@ -28,76 +28,77 @@
     ConnectFailed(ConnectFailure),
     /// This node closed it.
     ByNode(CloseReason),
-    /// What came on it could not be read, or stopped within a message.
+    /// Its input could not be parsed, or ended within a message.
     Malformed,
 }
 
-/// What the other coroutines send to the event loop.
+/// A message to the event loop from another coroutine or thread.
 pub(crate) enum InboxMessage {
     /// A viewer has connected.
     ViewerConnected(Arc<ViewerConnection>),
-    /// A viewer sent something.
+    /// A viewer sent a message.
     FromViewer {
         connection: ConnectionId,
         message: viewers::Message,
-        /// When it was read.
+        /// When the message was read from the socket.
         received_at: Time,
     },
     /// A viewer's connection has ended.
-    ViewerDisconnected(ConnectionId, Delivery),
+    ViewerDisconnected(ConnectionId, DeliveryStatus),
     /// A connect to a server completed.
     ConnectCompleted(LinkId, Result<Arc<WriteBuffer>, ConnectFailure>),
-    /// A server sent these messages, which were read at once.
+    /// A server sent these messages, which were read from the socket in one piece.
     FromServer(LinkId, Vec<rtsp::Message>),
     /// A connection to a server has ended.
-    LinkClosed(LinkId, LinkEnd, Delivery),
+    LinkClosed(LinkId, LinkEnd, DeliveryStatus),
     /// The directory has a new list.
     EndpointList(List),
-    /// Take no new set-up, and end when nothing is pending.
+    /// Begin a graceful shutdown.
     Drain,
 }
 
-/// What a node holds at a moment, and logs as `counts`.
+/// The numbers of set-ups, sessions, connections and table entries of a node. Logged as `counts`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Set-ups that the core has accepted for a decision and that have no answer.
     pub waiting: usize,
-    /// Sessions that play: established by a set-up or adopted, and not ended.
+    /// Sessions that are established by a set-up or adopted, and have not ended.
     pub playing: usize,
     /// Open connections from viewers.
     pub viewers: usize,
-    /// Connections to servers, those that are being opened or closed included.
+    /// Connections to servers, including those that are being opened or closed.
     pub links: usize,
-    /// Entries of the event loop's tables: sessions, attempts, abandoned set-ups, and messages that no connection could take.
+    /// Entries of the event loop's tables: sessions, attempts, abandoned set-ups, and messages that no connection accepted.
     pub entries: usize,
 }
 
-/// What was rejected or dropped, by kind; logged with the counts.
+/// Counters of rejected or dropped input since the start, by kind. Logged with the counts as `dropped`.
 #[derive(Debug, Default)]
 pub(crate) struct DropCounters {
     /// Viewers' connections that were closed because of a malformed message.
     pub(crate) malformed: AtomicU64,
     /// Set-ups with a field that is missing or out of range.
     pub(crate) out_of_range: AtomicU64,
-    /// Set-ups under the id of another one.
+    /// Set-ups with the id of a session that exists.
     pub(crate) duplicate: AtomicU64,
-    /// Set-ups beyond what one connection may have without an answer.
+    /// Set-ups rejected because their connection had too many unanswered ones.
     pub(crate) too_many_pending: AtomicU64,
-    /// Servers' connections that were closed because of a malformed message.
+    /// Connections to servers that were closed because of a malformed message.
     pub(crate) broken_links: AtomicU64,
-    /// Servers' responses that no attempt waits for.
+    /// Servers' responses that no attempt waited for.
     pub(crate) unexpected_responses: AtomicU64,
 }
 
-/// What all coroutines of a node share.
+/// State that all coroutines of a node share.
 pub(crate) struct Shared {
     pub(crate) config: Config,
-    pub(crate) budget: Budget,
+    pub(crate) budget: ResourceBudget,
     pub(crate) connections: ConnectionTable,
     pub(crate) sweeper: IdleSweeper,
     pub(crate) drop_counters: DropCounters,
-    /// Descriptors of connections to servers, those that are being closed included.
-    pub(crate) links: AtomicUsize,
+    /// Number of descriptors of connections to servers, including connections that are being closed.
+    pub(crate) link_descriptors: AtomicUsize,
+    /// The event loop updates this and the next two for [`Counts`].
     pub(crate) waiting: AtomicUsize,
     pub(crate) playing: AtomicUsize,
     pub(crate) entries: AtomicUsize,
@@ -112,13 +113,13 @@
 impl Shared {
     pub(crate) fn new(config: Config) -> (Arc<Shared>, Receiver<InboxMessage>) {
         let (inbox, receiver) = channel();
-        let budget = Budget::new(&config.limits);
+        let budget = ResourceBudget::new(&config.limits);
         let shared = Shared {
             budget,
-            connections: ConnectionTable::new(budget.viewers),
+            connections: ConnectionTable::new(budget.max_viewers),
             sweeper: IdleSweeper::start(SWEEP_INTERVAL),
             drop_counters: DropCounters::default(),
-            links: AtomicUsize::new(0),
+            link_descriptors: AtomicUsize::new(0),
             waiting: AtomicUsize::new(0),
             playing: AtomicUsize::new(0),
             entries: AtomicUsize::new(0),
@@ -130,9 +131,9 @@
         (Arc::new(shared), receiver)
     }
 
-    /// Sends a message to the event loop.
+    /// Sends a message to the event loop. It is lost if the event loop has ended.
     pub(crate) fn send(&self, message: InboxMessage) {
-        let _ = self.inbox.send(message); // The event loop may have ended.
+        let _ = self.inbox.send(message);
     }
 
     pub(crate) fn nameserver(&self) -> SocketAddr {
@@ -153,7 +154,7 @@
         let _ = self.acceptor.set(acceptor); // It is set once, at the start.
     }
 
-    /// Accepts the connections that are established, and then no more.
+    /// Stops accepting after the connections that the kernel has already established.
     pub(crate) fn stop_accepting(&self) {
         if let Some(acceptor) = self.acceptor.get() {
             acceptor.stop();
@@ -170,7 +171,7 @@
             waiting: self.waiting.load(Ordering::Relaxed),
             playing: self.playing.load(Ordering::Relaxed),
             viewers: self.connections.count(),
-            links: self.links.load(Ordering::Relaxed),
+            links: self.link_descriptors.load(Ordering::Relaxed),
             entries: self.entries.load(Ordering::Relaxed),
         }
     }
--- a/crates/node/src/viewer_connection.rs
+++ b/crates/node/src/viewer_connection.rs
@@ -1,42 +1,42 @@
-//! A viewer's connection as all parts of the node see it, and the work that is pending on it.
+//! A viewer's connection, shared by its reader and the event loop, and the work that is pending on it.
 use crankpaddle_net::{clock, WriteBuffer};
 use crankpaddle_time::{AtomicTime, Time};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// How long a connection that this side has ended stays open for its viewer to end it too.
+/// How long a connection that this node has closed for writing stays open for its viewer to close it too.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A viewer's connection; never used twice.
+/// The id of a viewer's connection. Ids are not reused; 0 is no connection's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ConnectionId(pub(crate) u64);
 
-/// Whether input that was not read, or not handled, counts as pending work.
+/// Whether input that was not read, or was read and not handled, counts as pending work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UnreadInput {
-    /// It counts.
+    /// Such input counts.
     Include,
-    /// Only set-ups that were handled, and their answers, count.
+    /// Only set-ups that were handled, and answers that were not sent, count.
     Ignore,
 }
 
-/// A viewer's connection, and what is pending on it: [`ViewerConnection::has_pending_work`].
+/// A viewer's connection. [`ViewerConnection::has_pending_work`] tells whether it may be closed.
 pub(crate) struct ViewerConnection {
     pub(crate) id: ConnectionId,
     pub(crate) outbox: WriteBuffer,
-    /// Messages that were read and that the event loop has not handled yet.
+    /// Number of messages that were read and that the event loop has not handled yet.
     pub(crate) queued_messages: AtomicUsize,
-    /// Set-ups on it that were handled and wait for an answer.
+    /// Number of set-ups that were handled and wait for an answer.
     pub(crate) pending_set_ups: AtomicUsize,
-    /// Whether a message is partially received.
+    /// Whether a message has been received in part only.
     pub(crate) has_partial_message: AtomicBool,
-    /// Until when the viewer waits for what is in the outbox.
+    /// Until when the viewer waits for messages in the outbox.
     output_deadline: AtomicTime,
-    /// Whether a complete message was received.
+    /// Whether the viewer has sent a complete message.
     pub(crate) has_sent_message: AtomicBool,
-    /// When something last came of it.
+    /// When a message was last read from it, or one of its set-ups answered; at first, when it was accepted.
     last_used: AtomicTime,
-    /// Whether this side has ended it in order: no message is sent and no set-up accepted on it any more.
+    /// Whether this node has closed it for writing. No message is sent and no set-up accepted on it any more.
     is_closing: AtomicBool,
 }
 
@@ -55,16 +55,16 @@
         }
     }
 
-    /// The viewer waits for what is written until then; an earlier time has no effect.
-    pub(crate) fn extend_output_deadline(&self, until: Time) {
-        self.output_deadline.fetch_max(until, Ordering::Relaxed);
+    /// Records that the viewer waits for output until `deadline`. An earlier time than the current one has no effect.
+    pub(crate) fn extend_output_deadline(&self, deadline: Time) {
+        self.output_deadline.fetch_max(deadline, Ordering::Relaxed);
     }
 
     fn output_deadline(&self) -> Time {
         self.output_deadline.load(Ordering::Relaxed)
     }
 
-    /// When a message was last read from it, or one of its set-ups answered.
+    /// When the connection was last used: a message was read from it, or one of its set-ups was answered.
     pub(crate) fn last_used(&self) -> Time {
         self.last_used.load(Ordering::Relaxed)
     }
@@ -73,11 +73,11 @@
         self.last_used.store(now, Ordering::Relaxed);
     }
 
-    /// Ends this side of the connection in order. Its reader goes on until the viewer has ended it too, or for
+    /// Closes the connection for writing. Its reader goes on until the viewer has closed the connection too, or for
     /// [`CLOSE_TIMEOUT`].
     ///
-    /// Why not both sides at once: with input unread or arriving, the kernel would reset the connection, and the viewer could
-    /// not tell a set-up that crossed the close, which it may send once more, from one that was open.
+    /// The connection is not closed for reading at the same time: with input unread or arriving, the kernel would reset it, and
+    /// the viewer could not tell a set-up that crossed the close, which it may send once more, from one that was pending.
     pub(crate) fn begin_close(&self) {
         self.is_closing.store(true, Ordering::Release);
         let socket = self.outbox.socket();
@@ -94,31 +94,30 @@
         !self.is_closing() && !self.outbox.socket().is_closed()
     }
 
-    /// Sets when the connection expires, unless it is closing, which has a deadline of its own.
+    /// Sets when the connection expires. Has no effect on a connection that is closing, which has a deadline of its own.
     pub(crate) fn set_expiry(&self, at: Time) {
         if !self.is_closing() {
             self.outbox.socket().set_expiry(at);
         }
     }
 
-    /// Whether something that was read, handled or not, has no answer.
+    /// Whether a message that was read is not handled, or a set-up that was handled is not answered.
     fn has_unanswered_input(&self) -> bool {
         self.queued_messages.load(Ordering::Acquire) > 0
             || self.pending_set_ups.load(Ordering::Acquire) > 0
     }
 
-    /// Whether what the viewer sent has not been read, or only partially.
+    /// Whether the viewer has sent bytes that were not read, or a part of a message.
     fn has_unread_input(&self) -> bool {
         self.has_partial_message.load(Ordering::Acquire) || self.outbox.socket().has_unread()
     }
 
-    /// Whether anything is pending on it: input that is unread, input that was read and is not handled, set-ups that
-    /// were handled and have no answer, and answers that the kernel has not accepted while the viewer still waits. A
-    /// set-up passes through these states in turn and is in one of them at any time, so this check alone decides whether
-    /// a connection may be closed or the node may end.
+    /// Whether anything is pending on the connection: input that is unread, input that was read and is not handled, set-ups
+    /// that were handled and have no answer, and answers that the kernel has not accepted while the viewer still waits.
     ///
-    /// Why: load shedding and shutdown each looked at handled set-ups only; one that was read and still queued, or whose
-    /// answer a slow reader had not taken, was lost.
+    /// A set-up passes through these states in turn and is in one of them at any time, so this check alone decides whether a
+    /// connection may be closed or the node may end. Load shedding and shutdown once considered handled set-ups only, and lost
+    /// set-ups that were read and still queued, or whose answer a slow reader had not accepted.
     pub(crate) fn has_pending_work(&self, now: Time, unread: UnreadInput) -> bool {
         let has_output = now < self.output_deadline() && !self.outbox.is_empty();
         let has_pending_set_ups = self.pending_set_ups.load(Ordering::Acquire) > 0;
@@ -134,10 +133,10 @@
         unread == UnreadInput::Include && (self.has_unanswered_input() || self.has_unread_input())
     }
 
-    /// When a message that begins now must be complete.
+    /// The time by which a message that begins at `now` must be complete.
     ///
-    /// Why: if the connection were closed at the deadline, pending set-ups on it would lose their answers; so it leaves time
-    /// for these.
+    /// The connection is closed at that time, and set-ups that are pending on it would lose their answers. So the deadline
+    /// leaves time for these answers.
     pub(crate) fn message_deadline(&self, now: Time, timeout: Duration) -> Time {
         let start = if self.has_unanswered_input() {
             now.max(self.output_deadline())
--- a/crates/node/src/viewer_reader.rs
+++ b/crates/node/src/viewer_reader.rs
@@ -1,5 +1,5 @@
-//! Reading viewers' connections, and closing those that send nothing in time.
-use crate::event_loop::delivery::Delivery;
+//! Reads viewers' connections, and closes those that do not complete a message in time.
+use crate::event_loop::delivery::DeliveryStatus;
 use crate::shared::{increment, InboxMessage, Shared};
 use crate::viewer_connection::ViewerConnection;
 use crankpaddle_net::{clock, CloseReason, ReadEnd, Socket, WriteBuffer};
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A client that sends nothing, or begins a message and does not complete it, is closed after this time. Bad clients
-/// have to get an answer or a close within 3 s.
+/// The connection of a client that sends nothing, or begins a message and does not complete it, is closed after this time.
+/// Faulty clients have to get an answer or a close within 3 s.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes read from the kernel at once; then other coroutines run.
-const READ_SIZE: usize = 4096;
+/// Maximum number of bytes read at once before other coroutines get to run.
+const READ_BYTES: usize = 4096;
 
-/// The slot of one connection among those that may be open; free again when this is dropped.
+/// The slot of one connection among those that may be open. Dropping it releases the slot.
 pub(crate) struct ConnectionSlot(Arc<Shared>);
 
 impl Drop for ConnectionSlot {
@@ -24,7 +24,8 @@
     }
 }
 
-/// A slot for one more connection. If none is free, the least used connection is closed, so that one soon is.
+/// Acquires a slot for one more connection; `None` if none is free. In that case the least used connection is closed, so that a
+/// slot becomes free soon.
 pub(crate) fn acquire_slot(shared: &Arc<Shared>) -> Option<ConnectionSlot> {
     let is_acquired = shared.connections.acquire_slot();
     let slot = ConnectionSlot(shared.clone());
@@ -37,20 +38,20 @@
     let socket = Arc::new(socket);
     socket.set_expiry(now + MESSAGE_TIMEOUT);
     shared.sweeper.watch(&socket);
-    let outbox = WriteBuffer::new(socket.clone(), shared.budget.outbox);
+    let outbox = WriteBuffer::new(socket.clone(), shared.budget.max_outbox_bytes);
     let id = shared.connections.next_id();
     let connection = Arc::new(ViewerConnection::new(id, outbox, now));
     shared.connections.insert(&connection);
     shared.send(InboxMessage::ViewerConnected(connection.clone()));
-    let end = Reader::new(&connection, shared).run();
-    let delivery = Delivery::at_end(end, &connection.outbox);
+    let end = ViewerReader::new(&connection, shared).run();
+    let delivery = DeliveryStatus::at_end(end, &connection.outbox);
     socket.close(CloseReason::ReadEnded);
     log_end(&connection, end);
     shared.connections.remove(connection.id);
     shared.send(InboxMessage::ViewerDisconnected(connection.id, delivery));
 }
 
-/// Logs who ended a connection and why, and what was open on it.
+/// Logs which side ended a connection and why, and what was pending on it.
 fn log_end(connection: &ViewerConnection, end: ReadEnd) {
     tracing::debug!(
         connection_id = connection.id.0,
@@ -64,8 +65,8 @@
     );
 }
 
-/// Reads one connection.
-struct Reader<'a> {
+/// Decodes the messages of one connection and passes them to the event loop.
+struct ViewerReader<'a> {
     connection: &'a ViewerConnection,
     shared: &'a Shared,
     decoder: Decoder,
@@ -73,9 +74,9 @@
     has_partial_message: bool,
 }
 
-impl<'a> Reader<'a> {
-    fn new(connection: &'a ViewerConnection, shared: &'a Shared) -> Reader<'a> {
-        Reader {
+impl<'a> ViewerReader<'a> {
+    fn new(connection: &'a ViewerConnection, shared: &'a Shared) -> ViewerReader<'a> {
+        ViewerReader {
             connection,
             shared,
             decoder: Decoder::default(),
@@ -86,28 +87,28 @@
 
     fn run(mut self) -> ReadEnd {
         let outbox = &self.connection.outbox;
-        outbox.read_each::<READ_SIZE>(|bytes| self.handle_bytes(bytes))
+        outbox.read_each::<READ_BYTES>(|bytes| self.handle_bytes(bytes))
     }
 
-    /// Passes the messages in `bytes` on; false when the connection is to be closed.
+    /// Decodes bytes that were read, and forwards complete messages; false if the connection is to be closed.
     fn handle_bytes(&mut self, bytes: &[u8]) -> bool {
         let now = clock::now();
         let decoded = self.decoder.feed(bytes, &mut self.messages);
         let has_complete_message = !self.messages.is_empty();
         if has_complete_message {
-            self.pass_messages_on(now);
+            self.forward_messages(now);
         }
         if let Err(error) = decoded {
             tracing::debug!(connection_id = self.connection.id.0, reason = %error, "malformed viewer stream");
             increment(&self.shared.drop_counters.malformed);
             return false;
         }
-        self.watch_partial_message(now, has_complete_message);
-        // An expired connection is closed here if it still sends: the sweeper spares connections with unread bytes.
+        self.update_partial_message_deadline(now, has_complete_message);
+        // The sweeper does not close expired connections with unread bytes, so one that still sends is closed here.
         !self.connection.outbox.socket().is_expired(now)
     }
 
-    fn pass_messages_on(&mut self, now: Time) {
+    fn forward_messages(&mut self, now: Time) {
         let connection = self.connection;
         connection.set_expiry(Time::MAX);
         connection.has_sent_message.store(true, Ordering::Relaxed);
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Sets the deadline of a partially received message at its first byte; later bytes do not extend it.
-    fn watch_partial_message(&mut self, now: Time, has_complete_message: bool) {
+    /// Sets the deadline of a partially received message when its first byte is received. Later bytes do not extend it.
+    fn update_partial_message_deadline(&mut self, now: Time, has_complete_message: bool) {
         let connection = self.connection;
         let is_partial = self.decoder.has_partial_message();
         let is_new = has_complete_message || !self.has_partial_message;
--- a/crates/node/tests/undelivered.rs
+++ b/crates/node/tests/undelivered.rs
@@ -147,8 +147,8 @@
     assert_eq!(release.session, Some(tag(1)));
 }
 
-/// Guards against a session that plays on at its server for nobody, because the connection that took its release was reset before
-/// the server had read it.
+/// Guards against a session that plays on at its server for nobody, because the connection that took its release was reset
+/// before the server had read it.
 #[test]
 fn a_release_that_its_server_did_not_read_is_sent_to_it_again() {
     release_through_resets(1);
