--- a/crates/node/examples/platform.rs
+++ b/crates/node/examples/platform.rs
@@ -1,5 +1,5 @@
-//! A platform to try a front node against: one stand-in server that sets everything up and one stand-in directory, on
-//! loopback. Prints the node's configuration and stays in the foreground.
+//! A platform for trying out a front node on loopback: a test server that accepts every set-up, and a test directory. Prints
+//! the node's configuration and runs until it is stopped.
 #[path = "../tests/support/mod.rs"]
 mod support;
 use std::io::Write;
@@ -21,15 +21,15 @@
     writeln!(out, "{config}")?;
     out.flush()?;
     loop {
-        let Some((conn, asked)) = server.try_take_request("SETUP") else {
+        let Some((connection, request)) = server.try_take_request("SETUP") else {
             std::thread::sleep(std::time::Duration::from_millis(5));
             continue;
         };
-        let (tag, made) = (
-            session_of(&asked),
-            format!("made for {}", asked.text().unwrap_or_default()),
+        let (tag, description) = (
+            session_of(&request),
+            format!("made for {}", request.text().unwrap_or_default()),
         );
         eprintln!("set up {tag}");
-        server.send(conn, &accepted(tag, &made));
+        server.send(connection, &accepted(tag, &description));
     }
 }
--- a/crates/node/src/budget/tests.rs
+++ b/crates/node/src/budget/tests.rs
@@ -15,7 +15,7 @@
         );
         assert!(
             sockets < 256 || budget.max_viewers > sockets / 3,
-            "what viewers may hold is taken: {budget:?}"
+            "a third of the descriptors must be available to viewers: {budget:?}"
         );
     }
 }
--- a/crates/node/src/connection_table/tests.rs
+++ b/crates/node/src/connection_table/tests.rs
@@ -20,8 +20,8 @@
     });
     let socket = receiver
         .recv_timeout(Duration::from_secs(30))
-        .expect("it connects")
-        .expect("somebody listens");
+        .expect("the connect completes")
+        .expect("the listener accepts");
     let connection = Arc::new(ViewerConnection::new(
         ConnectionId(id),
         WriteBuffer::new(Arc::new(socket), 1024),
@@ -34,7 +34,7 @@
     connection
 }
 
-/// Fails where each call closes another one, whether or not the one before has gone.
+/// Guards against closing one connection after the other before the first one has freed its slot.
 #[test]
 fn one_connection_is_closed_at_a_time_and_unused_ones_before_used_ones() {
     let (table, listener) = (
@@ -42,7 +42,7 @@
         TcpListener::bind("127.0.0.1:0").unwrap(),
     );
     let connections = [(1, true), (2, false), (3, false)]
-        .map(|(id, spoke)| connect(&table, &listener, id, spoke));
+        .map(|(id, has_sent)| connect(&table, &listener, id, has_sent));
     let closed = || {
         connections
             .iter()
@@ -54,13 +54,17 @@
     for _ in 0..100 {
         table.close_least_used();
     }
-    assert_eq!(closed(), [false, true, false], "its slot is not free yet");
+    assert_eq!(
+        closed(),
+        [false, true, false],
+        "the closed connection has not freed its slot yet"
+    );
     table.remove(ConnectionId(2));
     table.close_least_used();
     assert_eq!(closed(), [false, true, true]);
 }
 
-/// Fails where a connection in use is closed because the silent ones are accepted and not in the table yet.
+/// Guards against closing a connection in use because silent ones are accepted and not in the table yet.
 #[test]
 fn no_connection_is_closed_before_all_that_were_accepted_are_in_the_table() {
     let (table, listener) = (
@@ -73,7 +77,7 @@
     table.release_slot();
     assert!(
         !used.outbox.socket().is_closed(),
-        "a silent one is accepted"
+        "a silent connection is accepted and not in the table yet"
     );
     let silent = connect(&table, &listener, 2, false);
     assert!(!table.acquire_slot());
@@ -82,7 +86,7 @@
     assert!(!used.outbox.socket().is_closed());
 }
 
-/// Both ends of a connection whose kernel buffers are small.
+/// Both ends of a connection with small kernel buffers.
 fn small_buffer_pair(listener: &TcpListener) -> (Arc<Socket>, TcpStream) {
     crankpaddle_net::start(Some(1));
     rustix::net::sockopt::set_socket_recv_buffer_size(listener, 1024).unwrap();
@@ -99,7 +103,7 @@
     (Arc::new(socket), peer)
 }
 
-/// Fails where only what the event loop has handled counts.
+/// Guards against counting only input that the event loop has handled.
 #[test]
 fn what_is_unread_partial_queued_or_unanswered_is_pending_work() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -114,18 +118,21 @@
     connection.queued_messages.store(1, Ordering::Relaxed);
     assert!(
         pending(UnreadInput::Include) && !pending(UnreadInput::Ignore),
-        "read and not handled"
+        "a message that was read and not handled"
     );
     connection.queued_messages.store(0, Ordering::Relaxed);
     connection.pending_set_ups.store(1, Ordering::Relaxed);
-    assert!(pending(UnreadInput::Ignore), "handled and not answered");
+    assert!(
+        pending(UnreadInput::Ignore),
+        "a set-up that was handled and not answered"
+    );
     connection.pending_set_ups.store(0, Ordering::Relaxed);
     connection
         .has_partial_message
         .store(true, Ordering::Relaxed);
     assert!(
         pending(UnreadInput::Include) && !pending(UnreadInput::Ignore),
-        "partially received"
+        "a message that was partially received"
     );
     connection
         .has_partial_message
@@ -133,7 +140,7 @@
     peer.write_all(b"x").unwrap();
     assert!(
         pending(UnreadInput::Include) && !pending(UnreadInput::Ignore),
-        "not read yet"
+        "input that was not read"
     );
     assert_eq!(socket.try_read(&mut [0u8; 65_536]).unwrap(), Some(1));
     assert!(!pending(UnreadInput::Include));
@@ -149,28 +156,28 @@
     while connection.outbox.is_empty() {
         assert!(
             connection.outbox.push(&[b'x'; 4096]),
-            "the kernel takes no end of bytes"
+            "the buffer was full before the kernel refused bytes"
         );
     }
     assert!(
         connection.has_pending_work(Time(5), UnreadInput::Ignore),
-        "an answer that a slow reader has not taken"
+        "an answer that a slow reader has not read"
     );
     assert!(
         !connection.has_pending_work(Time(10), UnreadInput::Ignore),
-        "its viewer has timed out"
+        "its viewer no longer waits"
     );
-    let mut piece = [0u8; 65_536];
+    let mut buffer = [0u8; 65_536];
     while !connection.outbox.flush() {
-        assert!(peer.read(&mut piece).unwrap() > 0);
+        assert!(peer.read(&mut buffer).unwrap() > 0);
     }
     assert!(
         !connection.has_pending_work(Time(5), UnreadInput::Include),
-        "it is on its way"
+        "the kernel has accepted all output"
     );
 }
 
-/// Fails where load shedding, or the close for silence, looks at what was handled only.
+/// Guards against load shedding, or the close of silent connections, that considers handled input only.
 #[test]
 fn a_connection_with_unread_or_queued_input_is_not_closed() {
     let (table, listener) = (
@@ -188,17 +195,20 @@
     socket.set_expiry(Time(1));
     socket.expire(Time(2));
     table.close_least_used();
-    assert!(!socket.is_closed(), "it is unread");
+    assert!(!socket.is_closed(), "the connection has unread input");
     assert_eq!(socket.try_read(&mut [0u8; 8]).unwrap(), Some(1));
     connection.queued_messages.store(1, Ordering::Relaxed);
     table.close_least_used();
-    assert!(!socket.is_closed(), "it is queued");
+    assert!(!socket.is_closed(), "the connection has a queued message");
     connection.queued_messages.store(0, Ordering::Relaxed);
     socket.expire(Time(2));
-    assert!(socket.is_closed(), "nothing is pending, and it has expired");
+    assert!(
+        socket.is_closed(),
+        "nothing is pending, and the connection has expired"
+    );
 }
 
-/// A message that began while a set-up waits for its answer on the same connection.
+/// Guards against closing a connection for a partial message while a set-up on it waits for its answer.
 #[test]
 fn the_deadline_of_a_partial_message_leaves_time_for_pending_set_ups() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -212,6 +222,6 @@
     assert_eq!(
         connection.message_deadline(Time(5), timeout),
         Time(110),
-        "its answer comes first"
+        "the deadline starts when the viewer no longer waits for its answer"
     );
 }
--- a/crates/node/src/health/tests.rs
+++ b/crates/node/src/health/tests.rs
@@ -10,12 +10,12 @@
     let mut health = ServerHealth::new(at(10), Some(Duration::from_secs(3)));
     assert!(
         !health.should_connect(at(13), true),
-        "between two updates silence is usual"
+        "silence between two updates is normal"
     );
     assert!(health.should_connect(at(14), true));
     assert!(
         !health.connect_completed(at(14), Err(ConnectFailure::NoResponse)),
-        "one lost connect is no proof"
+        "one connect without a response does not prove a failure"
     );
     assert!(health.should_connect(at(14), true));
     assert!(health.connect_completed(
@@ -33,7 +33,7 @@
     assert!(!health.should_connect(at(6), true));
     assert!(
         !health.connect_completed(at(6), Err(ConnectFailure::NoResponse)),
-        "misses count in a row only"
+        "only consecutive connects without a response count"
     );
     assert!(health.connect_completed(at(7), Err(ConnectFailure::Refused)));
     assert!(
--- a/crates/node/tests/adopted_sessions.rs
+++ b/crates/node/tests/adopted_sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions that play already when the node learns of them.
+//! Adoption of sessions that play already when a viewer tells the node of them.
 mod support;
 use serde_json::json;
 use support::*;
@@ -7,7 +7,7 @@
 fn sessions_that_play_already_are_adopted_once_and_released() {
     let harness = Harness::start(1);
     let mut viewer = harness.viewer();
-    let at = |n| {
+    let adoption = |n| {
         set_up(
             tag(n),
             PAID,
@@ -15,22 +15,26 @@
             &format!(";at:{}", harness.servers[0].name),
         )
     };
-    viewer.send_json(&at(1));
-    viewer.send_json(&at(1));
+    viewer.send_json(&adoption(1));
+    viewer.send_json(&adoption(1));
     viewer.send_json(&set_up(tag(3), PAID, "-1", ";at:s-ffffffff"));
-    assert_eq!(viewer.echo()["verb"], "ECHOED", "no answer is sent");
+    assert_eq!(
+        viewer.echo()["verb"],
+        "ECHOED",
+        "an adoption is not answered"
+    );
     assert_eq!(
         harness.node.counts().playing,
         1,
-        "a second time and an unknown server add nothing"
+        "a repeated adoption and one at an unknown server add no session"
     );
     let (server, connection) = harness.establish(&mut viewer, tag(2), FREE);
-    viewer.send_json(&at(2));
+    viewer.send_json(&adoption(2));
     assert_eq!(viewer.echo()["verb"], "ECHOED");
     assert_eq!(
         harness.node.counts().playing,
         2,
-        "one that is held already stays one"
+        "an adoption of an established session adds none"
     );
     server.send(connection, &session_update(tag(1), "at_rung", 1.0));
     server.send(
@@ -54,10 +58,10 @@
     listed.extend(listed_servers(std::slice::from_ref(&server)));
     harness
         .directory
-        .update(|t| (t.serial, t.servers) = (2, listed));
+        .update(|state| (state.serial, state.servers) = (2, listed));
     harness.directory.wait_for_queries(3);
     viewer.send_json(&set_up(tag(1), PAID, "-1", &format!(";at:{}", server.name)));
-    server.wait_for_connection(); // Its notes and releases need a connection.
+    server.wait_for_connection(); // The node connects to receive the server's updates and releases.
     server.kill();
     let end = viewer.next_message();
     assert_eq!(
--- a/crates/node/tests/faulty_clients.rs
+++ b/crates/node/tests/faulty_clients.rs
@@ -1,4 +1,4 @@
-//! Faulty clients, over sockets: malformed input, duplicate ids, silence.
+//! Faulty clients: malformed input, duplicate ids, and clients that send nothing.
 mod support;
 use serde_json::json;
 use std::time::Instant;
@@ -14,10 +14,10 @@
     other["blob"] = json!("another description");
     bad.send_json(&other);
     assert!(
-        bad.is_closed(),
-        "closed without a word that could be taken for the honest one's answer"
+        bad.ends_without_message(),
+        "an answer could be mistaken for the answer to the first set-up"
     );
-    // Nor may another client cancel a set-up that is not its own.
+    // Another client cannot cancel the set-up either.
     let mut stranger = harness.viewer();
     stranger.finish(tag(1), 16);
     assert_eq!(stranger.next_message()["verb"], "FINISHED");
@@ -27,8 +27,8 @@
         server
             .take_events()
             .iter()
-            .all(|h| !matches!(h, ServerEvent::Received(..))),
-        "one set-up reached the server"
+            .all(|event| !matches!(event, ServerEvent::Received(..))),
+        "only one set-up reaches the server"
     );
 }
 
@@ -39,12 +39,15 @@
     long["blob"] = json!("y".repeat(20_000));
     let bad: [(&str, Vec<u8>); 8] = [
         ("noise", vec![0xff; 100]),
-        ("an endless line", vec![b'{'; 40_000]),
-        ("too long a message", format!("{long}\n").into_bytes()),
-        ("no JSON", b"hello\n".to_vec()),
+        ("a line without end", vec![b'{'; 40_000]),
+        (
+            "a message that is too long",
+            format!("{long}\n").into_bytes(),
+        ),
+        ("text that is not JSON", b"hello\n".to_vec()),
         ("no id", b"{\"verb\":\"START\",\"opts\":{}}\n".to_vec()),
         (
-            "an id that is none",
+            "an invalid id",
             b"{\"verb\":\"START\",\"tag\":\"12\",\"opts\":{}}\n".to_vec(),
         ),
         (
@@ -52,18 +55,18 @@
             b"OPTIONS rtsp://media/ping RTSP/1.0\r\n\r\n".to_vec(),
         ),
         (
-            "nested without end",
+            "deeply nested JSON",
             [vec![b'['; 10_000], vec![b'\n']].concat(),
         ),
     ];
-    for (what, bytes) in bad {
+    for (description, bytes) in bad {
         let mut client = harness.viewer();
         client.try_send(&bytes);
-        assert!(client.is_closed(), "{what}");
+        assert!(client.ends_without_message(), "{description}");
     }
     assert!(
         harness.servers[0].take_events().is_empty(),
-        "no server received any"
+        "the server was connected to"
     );
     harness.wait_until_idle();
 }
@@ -71,19 +74,25 @@
 #[test]
 fn set_ups_that_cannot_be_read_are_rejected_and_reach_no_server() {
     let harness = Harness::start(1);
-    for (what, request) in [
-        ("no such class", set_up(tag(2), "gold", "900", "")),
-        ("a negative time", set_up(tag(2), FREE, "-900", "")),
-        ("an endless time", set_up(tag(2), FREE, "99999999", "")),
-        ("a figure that is none", set_up(tag(2), FREE, "soon", "")),
+    for (description, request) in [
+        ("an unknown class", set_up(tag(2), "gold", "900", "")),
+        ("a negative wait", set_up(tag(2), FREE, "-900", "")),
+        (
+            "a wait that is too long",
+            set_up(tag(2), FREE, "99999999", ""),
+        ),
+        (
+            "a wait that is not a number",
+            set_up(tag(2), FREE, "soon", ""),
+        ),
         (
-            "a cell that is not there",
+            "a cell that does not exist",
             json!({"verb": "START", "tag": tag(2).as_str(), "blob": "x", "opts": {
             "class": FREE, "left": "900", "key": "7f3a9c21e0b4d655",
             "extras": "home:9;copies:1;top:1;viewer:00000000b4d65521"}}),
         ),
         (
-            "a rung that is not there",
+            "a rung that does not exist",
             json!({"verb": "START", "tag": tag(2).as_str(), "blob": "x", "opts": {
             "class": FREE, "left": "900", "key": "7f3a9c21e0b4d655",
             "extras": "home:0;copies:1;top:2;viewer:00000000b4d65521"}}),
@@ -100,12 +109,12 @@
         assert_eq!(
             (&end["verb"], &end["rc"]),
             (&json!("FINISH"), &json!(100)),
-            "{what}"
+            "{description}"
         );
     }
     assert!(
         harness.servers[0].take_events().is_empty(),
-        "no server received any"
+        "the server was connected to"
     );
     harness.wait_until_idle();
 }
@@ -118,7 +127,7 @@
     let before = Instant::now();
     let (mut silent, mut half) = (harness.viewer(), harness.viewer());
     half.send(b"{\"verb\":\"START\",");
-    assert!(silent.is_closed() && half.is_closed());
+    assert!(silent.ends_without_message() && half.ends_without_message());
     assert!(
         before.elapsed().as_millis() < 3000,
         "closed within 3 s: {:?}",
--- a/crates/node/tests/faulty_directory.rs
+++ b/crates/node/tests/faulty_directory.rs
@@ -1,4 +1,4 @@
-//! A faulty directory, over sockets, and servers that leave its list.
+//! Faulty directory responses, a change of the directory, and servers that are removed from the list.
 mod support;
 use serde_json::json;
 use std::time::Instant;
@@ -8,10 +8,10 @@
 fn removed_and_draining_servers_get_no_new_set_ups() {
     let harness = Harness::start(3);
     let mut viewer = harness.viewer();
-    harness.directory.update(|t| {
-        t.serial = 2;
-        t.servers.remove(0);
-        t.servers[0].priority = 1;
+    harness.directory.update(|state| {
+        state.serial = 2;
+        state.servers.remove(0);
+        state.servers[0].priority = 1;
     });
     harness.directory.wait_for_queries(3);
     for n in 0..20 {
@@ -26,18 +26,18 @@
     for fault in [
         DirectoryFault::Failure,
         DirectoryFault::Truncated,
-        DirectoryFault::OtherId,
+        DirectoryFault::WrongId,
         DirectoryFault::Silence,
     ] {
-        harness.directory.update(|t| {
-            (t.serial, t.fault) = (9, Some(fault));
-            t.servers.truncate(1);
+        harness.directory.update(|state| {
+            (state.serial, state.fault) = (9, Some(fault));
+            state.servers.truncate(1);
         });
         harness.directory.wait_for_queries(3);
     }
     harness
         .directory
-        .update(|t| (t.serial, t.fault) = (0, None));
+        .update(|state| (state.serial, state.fault) = (0, None));
     harness.directory.wait_for_queries(3);
     let mut viewer = harness.viewer();
     let mut used_servers = std::collections::BTreeSet::new();
@@ -47,18 +47,18 @@
     assert_eq!(
         used_servers.len(),
         2,
-        "an older list and spoilt ones are not followed"
+        "a list with a lower serial and unusable responses change nothing"
     );
     let before = harness.directory.query_count();
     harness
         .directory
-        .update(|t| t.fault = Some(DirectoryFault::Silence));
+        .update(|state| state.fault = Some(DirectoryFault::Silence));
     let since = Instant::now();
     harness.directory.wait_for_queries(5);
     let rate = (harness.directory.query_count() - before) as f64 / since.elapsed().as_secs_f64();
     assert!(
         rate < 20.0,
-        "a silent directory is not flooded: {rate} a second"
+        "too many queries to a silent directory: {rate} a second"
     );
 }
 
@@ -69,7 +69,7 @@
     harness.establish(&mut viewer, tag(1), FREE);
     harness
         .directory
-        .update(|t| t.fault = Some(DirectoryFault::Silence));
+        .update(|state| state.fault = Some(DirectoryFault::Silence));
     let state = DirectoryState {
         serial: 2,
         servers: listed_servers(&harness.servers[..1]),
@@ -80,7 +80,7 @@
     config["nameserver"] = json!(other.address.to_string());
     harness
         .node
-        .reload(&parsed(&config))
+        .reload(&parse_config(&config))
         .expect("only the nameserver differs");
     other.wait_for_queries(2);
     for n in 10..20 {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_new_server_at_a_removed_ones_address_is_not_blamed_for_it() {
+fn a_new_server_at_the_address_of_a_removed_one_is_not_considered_failed() {
     let harness = Harness::start(1);
     let mut viewer = harness.viewer();
     let (old, connection) = harness.establish(&mut viewer, tag(1), FREE);
@@ -110,16 +110,16 @@
     .expect("the port is free again");
     drop(new);
     let new = Server::start_at(99, old.address);
-    harness
-        .directory
-        .update(|t| (t.serial, t.servers) = (2, listed_servers(std::slice::from_ref(&new))));
+    harness.directory.update(|state| {
+        (state.serial, state.servers) = (2, listed_servers(std::slice::from_ref(&new)));
+    });
     harness.directory.wait_for_queries(3);
     viewer.start(tag(2), PAID, 15_000);
     let (fresh, message) = new.wait_for_request("SETUP");
     assert_eq!(
         message.session,
         Some(tag(2)),
-        "it is not blamed for the other's death"
+        "the new server gets set-ups although the old one failed"
     );
     new.send(fresh, &accepted(tag(2), "x"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
--- a/crates/node/tests/other_deployments.rs
+++ b/crates/node/tests/other_deployments.rs
@@ -1,4 +1,4 @@
-//! What belongs to another deployment: its file, its list and its set-ups change nothing here.
+//! A configuration, an endpoint list or a set-up of another deployment changes nothing at a node.
 mod support;
 use serde_json::{json, Value};
 use support::*;
@@ -26,7 +26,7 @@
 #[test]
 fn a_file_of_another_node_or_with_other_settings_changes_nothing() {
     use crankpaddle_node_protocol::config::Mismatch;
-    let _alone = alone();
+    let _worker = lock_worker();
     let (here, there) = (Harness::start(1), other_deployment());
     let other = Directory::start(DirectoryState {
         serial: 9,
@@ -38,12 +38,15 @@
         config["nameserver"] = json!(other.address.to_string());
         change(&mut config);
         here.node
-            .reload(&parsed(&config))
-            .expect_err("it is not this node's")
+            .reload(&parse_config(&config))
+            .expect_err("the configuration is not this node's")
     };
     let mut foreign = there.config.clone();
     foreign["nameserver"] = json!(other.address.to_string());
-    assert_eq!(here.node.reload(&parsed(&foreign)), Err(Mismatch::Name));
+    assert_eq!(
+        here.node.reload(&parse_config(&foreign)),
+        Err(Mismatch::Name)
+    );
     assert_eq!(with(&|c| c["name"] = json!("n2")), Mismatch::Name);
     assert_eq!(
         with(&|c| c["listen"] = json!("127.0.0.1:9")),
@@ -58,19 +61,23 @@
         Mismatch::Settings
     );
     here.directory.wait_for_queries(3);
-    assert_eq!(other.query_count(), 0, "the directory in force is asked on");
+    assert_eq!(
+        other.query_count(),
+        0,
+        "the node still queries its own directory"
+    );
     let mut viewer = here.viewer();
     here.establish(&mut viewer, tag(1), FREE);
 }
 
 #[test]
 fn a_list_of_another_deployment_is_rejected_and_incompatible_servers_in_ours_are_skipped() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let (here, there) = (Harness::start(2), other_deployment());
     let foreign = |change: &dyn Fn(&mut ListedServer)| {
         let mut lines = listed_servers(&there.servers);
         for (line, name) in lines.iter_mut().zip(["s-000000a1", "s-000000a2"]) {
-            line.name = name.into(); // Ids differ from one deployment to the next.
+            line.name = name.into(); // Server names differ between deployments.
             change(line);
         }
         lines
@@ -82,12 +89,12 @@
     ];
     let mut n = 0;
     for (serial, change) in (2..).zip(incompatible) {
-        // Nothing but incompatible servers, then our second one among them.
+        // First a list with incompatible servers only, then one that also has this deployment's second server.
         for (serial, ours) in [(2 * serial, 0), (2 * serial + 1, 1)] {
-            here.directory.update(|t| {
-                (t.serial, t.servers) = (serial, foreign(change));
+            here.directory.update(|state| {
+                (state.serial, state.servers) = (serial, foreign(change));
                 let own = listed_servers(&here.servers);
-                t.servers.extend_from_slice(&own[2 - ours..]);
+                state.servers.extend_from_slice(&own[2 - ours..]);
             });
             here.directory.wait_for_queries(3);
             let mut viewer = here.viewer();
@@ -104,13 +111,13 @@
     }
     assert!(
         there.servers.iter().all(|s| s.take_events().is_empty()),
-        "nothing of this node came to the other's servers"
+        "the node connected to servers of the other deployment"
     );
 }
 
 #[test]
 fn a_set_up_of_another_deployment_is_rejected_and_reaches_no_server() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let (here, there) = (Harness::start(1), other_deployment());
     let assert_rejected = |harness: &Harness, class: &str, tenant: Option<&str>| {
         let mut viewer = harness.viewer();
--- a/crates/node/tests/races_endpoint_list.rs
+++ b/crates/node/tests/races_endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Races with changes of the directory's list: each bad order is made to happen, by a gate that stops the node's
-//! worker or by a peer that withholds what it has to send. The table is in `docs/front-node.md`.
+//! Races with changes of the endpoint list. Each test forces an order of events that is prone to errors, with a gate that stops
+//! the node's worker thread or with a peer that delays its messages. The races are listed in `docs/front-node.md`.
 mod support;
 use serde_json::json;
 use std::net::{TcpListener, TcpStream};
@@ -8,21 +8,25 @@
 
 #[test]
 fn a_set_up_that_waits_for_a_connect_to_a_draining_server_goes_elsewhere() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let harness = start_with_one_draining();
     let ConnectInProgress {
         mut viewer,
         backlog,
-    } = connect_to_vanished(&harness, PAID);
-    harness.directory.update(|t| {
-        (t.serial, t.servers[0].priority, t.servers[1].priority) = (3, 1, 0);
+    } = connect_to_failed_machine(&harness, PAID);
+    harness.directory.update(|state| {
+        (
+            state.serial,
+            state.servers[0].priority,
+            state.servers[1].priority,
+        ) = (3, 1, 0);
     });
     harness.directory.wait_for_queries(3);
     harness.servers[0].resume_accepting(); // The connect succeeds when the kernel retries it.
     let (server, connection, _) = harness.next_set_up();
     assert_eq!(
         server.name, harness.servers[1].name,
-        "it had left for neither"
+        "the set-up was not sent before, and is sent to the server that is ready"
     );
     server.send(connection, &accepted(tag(1), "described"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
@@ -31,18 +35,18 @@
 }
 
 #[test]
-fn a_connect_to_a_removed_server_brings_no_set_up_to_the_new_owner_of_its_address() {
-    let _alone = alone();
+fn a_connect_to_a_removed_server_sends_no_set_up_to_the_new_server_at_its_address() {
+    let _worker = lock_worker();
     let harness = Harness::start_with(1, long_connect_timeout);
     let ConnectInProgress {
         mut viewer,
         backlog,
-    } = connect_to_vanished(&harness, FREE);
+    } = connect_to_failed_machine(&harness, FREE);
     let address = harness.servers[0].address;
     // The server that has the address now is draining.
-    harness.directory.update(|t| {
-        t.serial = 2;
-        (t.servers[0].name, t.servers[0].priority) = ("s-00000099".into(), 1);
+    harness.directory.update(|state| {
+        state.serial = 2;
+        (state.servers[0].name, state.servers[0].priority) = ("s-00000099".into(), 1);
     });
     harness.directory.wait_for_queries(3);
     harness.servers[0].shut_down();
@@ -59,17 +63,21 @@
     assert_eq!(
         viewer.next_message()["rc"],
         34,
-        "nothing else is there, and nothing has left"
+        "no server is left, and the set-up was not sent"
+    );
+    wait(
+        "the connect has succeeded or failed, and no link is left",
+        || harness.node.counts().links == 0,
+    );
+    assert!(
+        !next.has_received_set_up(),
+        "the new server received a set-up for the removed one"
     );
-    wait("the connect has come about, or not", || {
-        harness.node.counts().links == 0
-    });
-    assert!(!next.has_received_set_up(), "another server's set-up");
 }
 
 #[test]
 fn a_server_that_moved_gets_set_ups_at_its_new_address_only() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let harness = Harness::start(1);
     let mut viewer = harness.viewer();
     let (former, connection) = harness.establish(&mut viewer, tag(1), FREE);
@@ -81,7 +89,7 @@
     let moved = Server::start(1);
     harness
         .directory
-        .update(|t| (t.serial, t.servers[0].address) = (2, moved.address));
+        .update(|state| (state.serial, state.servers[0].address) = (2, moved.address));
     harness.directory.wait_for_queries(3);
     viewer.start(tag(2), PAID, 15_000);
     let (connection, message) = moved.wait_for_request("SETUP");
@@ -93,7 +101,7 @@
 
 #[test]
 fn sessions_of_a_previous_incarnation_end_and_those_of_the_new_one_go_on() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let harness = Harness::start(1);
     let mut viewer = harness.viewer();
     harness.establish(&mut viewer, tag(1), FREE);
@@ -102,7 +110,7 @@
         .unwrap()
         .as_millis() as u64
         + 2;
-    wait("a later time", || {
+    wait("the new incarnation's start time has passed", || {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap()
@@ -112,7 +120,7 @@
     harness.establish(&mut viewer, tag(2), FREE);
     harness
         .directory
-        .update(|t| (t.serial, t.servers[0].started_ms) = (2, began));
+        .update(|state| (state.serial, state.servers[0].started_ms) = (2, began));
     let end = viewer.next_message();
     assert_eq!(
         (&end["tag"], &end["rc"]),
@@ -121,18 +129,18 @@
     assert_eq!(
         viewer.echo()["verb"],
         "ECHOED",
-        "the list was late: the other one is of the new life"
+        "the second session belongs to the new incarnation, although the list was late"
     );
     assert_eq!(harness.node.counts().playing, 1);
 }
 
 #[test]
 fn directory_responses_slower_than_the_poll_interval_are_used() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let harness = Harness::start(2);
-    harness.directory.update(|t| {
-        (t.serial, t.fault) = (2, Some(DirectoryFault::Behind(2)));
-        t.servers.remove(0);
+    harness.directory.update(|state| {
+        (state.serial, state.fault) = (2, Some(DirectoryFault::DelayedBy(2)));
+        state.servers.remove(0);
     });
     harness.directory.wait_for_queries(6);
     let mut viewer = harness.viewer();
@@ -145,12 +153,12 @@
 }
 
 #[test]
-fn clients_that_hold_all_descriptors_stop_neither_list_nor_reload_nor_viewer() {
-    let _alone = alone();
+fn clients_that_hold_all_descriptors_do_not_block_list_updates_reloads_or_viewers() {
+    let _worker = lock_worker();
     let harness = Harness::start(2);
     harness
         .directory
-        .update(|t| t.fault = Some(DirectoryFault::Silence));
+        .update(|state| state.fault = Some(DirectoryFault::Silence));
     harness.directory.wait_for_queries(2);
     let mut clients: Vec<TcpStream> = Vec::new();
     let connect_clients = |clients: &mut Vec<TcpStream>, n| {
@@ -159,7 +167,7 @@
     connect_clients(&mut clients, 300);
     harness
         .directory
-        .update(|t| (t.serial, t.fault, t.servers[0].priority) = (2, None, 1));
+        .update(|state| (state.serial, state.fault, state.servers[0].priority) = (2, None, 1));
     harness.directory.wait_for_queries(3);
     connect_clients(&mut clients, 100);
     let mut viewer = harness.viewer();
@@ -180,7 +188,7 @@
     connect_clients(&mut clients, 100);
     harness
         .node
-        .reload(&parsed(&config))
+        .reload(&parse_config(&config))
         .expect("only the nameserver differs");
     other.wait_for_queries(3);
     let mut viewer = harness.viewer();
--- a/crates/node/tests/races_viewers.rs
+++ b/crates/node/tests/races_viewers.rs
@@ -1,5 +1,5 @@
-//! Races with viewers that leave: each bad order is made to happen, by a gate that stops the node's worker or by a
-//! peer that withholds what it has to send. The table is in `docs/front-node.md`.
+//! Races with viewers that leave. Each test forces an order of events that is prone to errors, with a gate that stops the
+//! node's worker thread or with a peer that delays its messages. The races are listed in `docs/front-node.md`.
 mod support;
 use crankpaddle::Event;
 use rustix::net::sockopt::set_socket_recv_buffer_size;
@@ -9,16 +9,16 @@
 use std::time::Duration;
 use support::*;
 
-/// No attempt may begin so long after its viewer has cancelled.
+/// A set-up must not be sent this long or longer after its viewer has cancelled.
 const CANCEL_PERIOD: Duration = Duration::from_millis(100);
 
 fn is_session_request(event: &Event) -> bool {
     matches!(event, Event::SessionRequested(_))
 }
 
-/// A viewer goes while the policy decides on its set-up: nothing may be sent for it.
+/// Makes a viewer leave while the policy decides on its set-up, and asserts that the set-up is not sent.
 fn leave_before_the_first_attempt(leave: impl FnOnce(Viewer) -> Option<Viewer>) {
-    let _alone = alone();
+    let _worker = lock_worker();
     let (gate, observer) = Gate::at(is_session_request);
     let harness = Harness::start_observed(1, |_| {}, Some(observer));
     let mut viewer = harness.viewer();
@@ -29,12 +29,12 @@
     gate.open();
     harness.wait_until_idle();
     drop(remaining);
-    wait("its connection is gone", || {
+    wait("the viewer's connection is closed", || {
         harness.node.counts().viewers == 0
     });
     assert!(
         !harness.servers[0].has_received_set_up(),
-        "a set-up left for a viewer who had gone"
+        "a set-up was sent for a viewer that had left"
     );
 }
 
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_viewer_that_closes_between_two_attempts_has_no_second() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let (gate, observer) = Gate::at(|event| matches!(event, Event::AttemptEnded { .. }));
     let harness = Harness::start_observed(2, |_| {}, Some(observer));
     let mut viewer = harness.viewer();
@@ -78,40 +78,40 @@
     harness.wait_until_idle();
     assert!(
         harness.servers.iter().all(|s| !s.has_received_set_up()),
-        "a second attempt for a viewer who had gone"
+        "a second attempt was sent for a viewer that had left"
     );
 }
 
 #[test]
 fn a_viewer_that_closes_during_a_connect_has_no_attempt() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let harness = Harness::start_with(1, long_connect_timeout);
-    let ConnectInProgress { viewer, backlog } = connect_to_vanished(&harness, FREE);
+    let ConnectInProgress { viewer, backlog } = connect_to_failed_machine(&harness, FREE);
     drop(viewer);
     harness.wait_until_idle();
     harness.servers[0].resume_accepting();
     let mut other = harness.viewer();
-    let (server, _) = harness.establish(&mut other, tag(2), FREE); // The first set-up that the server receives.
+    let (server, _) = harness.establish(&mut other, tag(2), FREE); // This is the first set-up that the server receives.
     assert!(!server.has_received_set_up());
     drop(backlog);
 }
 
-/// A server whose receive buffer is small, and that does not read.
+/// The listener of a server with a small receive buffer. The server does not read.
 fn non_reading_server() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    set_socket_recv_buffer_size(&listener, 1024).expect("an option");
+    set_socket_recv_buffer_size(&listener, 1024).expect("the option can be set");
     listener
 }
 
 #[test]
 fn a_set_up_to_a_server_that_does_not_read_never_arrives_when_its_viewer_has_gone() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let server = non_reading_server();
     let harness = Harness::start(1);
     let address = server.local_addr().unwrap();
     harness
         .directory
-        .update(|t| (t.serial, t.servers[0].address) = (2, address));
+        .update(|state| (state.serial, state.servers[0].address) = (2, address));
     harness.directory.wait_for_queries(3);
     let mut viewer = harness.viewer();
     let mut long = set_up(tag(1), FREE, "15000", "");
@@ -125,45 +125,45 @@
     });
     let (mut stream, _) = accepted.expect("just accepted");
     stream.set_nonblocking(false).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
-    wait("some of it is there", || {
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    wait("a part of the set-up has arrived", || {
         matches!(stream.peek(&mut [0u8; 1]), Ok(1))
     });
     drop(viewer);
     harness.wait_until_idle();
-    let (mut all, mut piece) = (Vec::new(), [0u8; 4096]);
-    while let Ok(got @ 1..) = stream.read(&mut piece) {
-        all.extend_from_slice(&piece[..got]);
+    let (mut all, mut buffer) = (Vec::new(), [0u8; 4096]);
+    while let Ok(length @ 1..) = stream.read(&mut buffer) {
+        all.extend_from_slice(&buffer[..length]);
     }
     let mut messages = Vec::new();
     let _ = crankpaddle_node_protocol::rtsp::Decoder::default().feed(&all, &mut messages);
     assert!(
         messages.is_empty(),
-        "after its viewer had gone it arrived whole: {} bytes",
+        "the set-up arrived completely after its viewer had left: {} bytes",
         all.len()
     );
 }
 
-/// Guards against a set-up that is sent although its cancel has lain unread for longer than a tenth of a second, because the
-/// node was busy with other decisions.
+/// Guards against a set-up that is sent although its cancel has been unread for more than a tenth of a second. This happened
+/// while the node was busy with other decisions.
 #[test]
-fn a_cancel_that_lies_unread_while_the_node_is_busy_withdraws_its_set_up() {
-    let _alone = alone();
+fn a_cancel_that_is_unread_while_the_node_is_busy_withdraws_its_set_up() {
+    let _worker = lock_worker();
     let (gate, observer) = Gate::at(is_session_request);
     let harness = Harness::start_observed(1, |_| {}, Some(observer));
     let (mut cancelling, mut other) = (harness.viewer(), harness.viewer());
-    harness.establish(&mut other, tag(3), FREE); // So that there is a link, and no connect gives it time.
+    harness.establish(&mut other, tag(3), FREE); // With an open link, no connect delays the set-up.
     gate.arm();
     cancelling.start(tag(1), FREE, 15_000);
     gate.wait_until_reached();
-    // Its set-up is deferred, since something is unread, and the node is busy again when it could be sent.
+    // The set-up is deferred because its connection has unread input, and the node is busy again when it could be sent.
     cancelling.send_json(&json!({"verb": "ECHO", "tag": tag(9).as_str(), "opts": {}, "rc": 0}));
     other.start(tag(2), PAID, 15_000);
     gate.arm();
     gate.open();
     gate.wait_until_reached();
     cancelling.finish(tag(1), 16);
-    std::thread::sleep(CANCEL_PERIOD); // The rule itself is one of time.
+    std::thread::sleep(CANCEL_PERIOD); // The rule under test is about time.
     gate.open();
     assert_eq!(cancelling.next_message()["verb"], "ECHOED");
     assert_eq!(cancelling.next_message()["verb"], "FINISHED");
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions from set-up to end over sockets, each hard case provoked by stand-ins.
+//! Sessions from set-up to end, with cancels, disconnects, rejections and failures of servers.
 mod support;
 use serde_json::json;
 use support::*;
@@ -21,7 +21,7 @@
     assert_eq!(
         message.header("Rate-Step"),
         Some("1"),
-        "an empty server gives the best rung"
+        "an idle server serves the highest rung"
     );
     let patience: u64 = message
         .header("X-Patience")
@@ -64,7 +64,7 @@
     assert_eq!(
         viewer.echo()["verb"],
         "ECHOED",
-        "no answer follows one that was given up"
+        "a cancelled set-up is not answered"
     );
     harness.wait_until_idle();
 }
@@ -93,7 +93,7 @@
     let (server, connection) = harness.establish(&mut first, tag(1), FREE);
     harness.establish(&mut second, tag(2), FREE);
     drop(first);
-    wait("it is seen to be gone", || {
+    wait("the node notices the closed connection", || {
         harness.node.counts().viewers == 1
     });
     server.send(
@@ -114,8 +114,9 @@
     harness.wait_until_idle();
 }
 
-/// Seen in a rush of requests: 0.2 ms after the server's response came the release, as the viewer had left a stream that was
-/// delivered at a third of its rate. The session was reported as established, and counted as never answered.
+/// Guards against a session that is reported as established after its viewer has left it at the server. Under a burst of
+/// requests, a viewer left a stream that was delivered at a third of its rate, and the release followed the server's response
+/// within 0.2 ms. The session was reported as established, and counted as never answered.
 #[test]
 fn a_session_that_is_over_when_its_response_is_read_is_never_reported_as_established() {
     let harness = Harness::start(1);
@@ -131,7 +132,7 @@
             assert_eq!(
                 (&established["verb"], &established["blob"]),
                 (&json!("STARTED"), &json!("x")),
-                "it has come to its end"
+                "a session that ended normally is reported as established first"
             );
         }
         let (end, answer) = (if cause == 16 { 16 } else { 41 }, viewer.next_message());
@@ -140,7 +141,7 @@
             (&json!("FINISH"), &json!(end)),
             "cause {cause}"
         );
-        assert_eq!(viewer.echo()["verb"], "ECHOED", "one answer");
+        assert_eq!(viewer.echo()["verb"], "ECHOED", "nothing else is sent");
     }
     harness.wait_until_idle();
 }
@@ -158,7 +159,9 @@
         connection,
         &crankpaddle_node_protocol::rtsp::release(tag(1), 41),
     );
-    wait("the session is over", || harness.node.counts().playing == 0);
+    wait("the session has ended", || {
+        harness.node.counts().playing == 0
+    });
     let mut next = harness.viewer();
     let first = next.echo();
     let end = if first["verb"] == "ECHOED" {
@@ -186,7 +189,7 @@
     assert_eq!(
         (&end["verb"], &end["rc"]),
         (&json!("FINISH"), &json!(34)),
-        "full proves that nothing ran"
+        "a rejection for lack of capacity proves that nothing ran"
     );
     let wait: u64 = end["opts"]["wait"]
         .as_str()
@@ -214,7 +217,11 @@
         if again {
             let (other, connection, message) = harness.next_set_up();
             assert_ne!(other.name, server.name);
-            assert_eq!(message.session, Some(tag(1)), "the id stays");
+            assert_eq!(
+                message.session,
+                Some(tag(1)),
+                "both attempts have the same id"
+            );
             other.send(connection, &accepted(tag(1), "x"));
             assert_eq!(viewer.next_message()["verb"], "STARTED", "{status}");
         } else {
@@ -242,7 +249,7 @@
             assert_ne!(other.name, server.name);
             other.send(connection, &accepted(tag(1), "x"));
             assert_eq!(viewer.next_message()["verb"], "STARTED");
-            // What may be established at the first is released there.
+            // The session may be established at the first server, so it is released there.
             let (_, release) = server.wait_for_request("TEARDOWN");
             assert_eq!((release.session, release.cause()), (Some(tag(1)), Some(41)));
         } else {
@@ -272,7 +279,7 @@
     assert_eq!((&end["verb"], &end["rc"]), (&json!("FINISH"), &json!(41)));
     assert!(
         before.elapsed().as_millis() >= 350,
-        "no earlier than its time"
+        "the set-up failed before its deadline"
     );
     let (_, cancel) = server.wait_for_request("TEARDOWN");
     assert_eq!((cancel.session, cancel.cause()), (Some(tag(1)), None));
@@ -287,7 +294,7 @@
     let (_, waiting, _) = harness.next_set_up();
     harness.node.drain();
     let mut late = harness.viewer();
-    wait("a new set-up is refused", || {
+    wait("a new set-up is rejected", || {
         late.start(tag(3), FREE, 15_000);
         late.next_message()["rc"] == 42
     });
@@ -295,7 +302,7 @@
     assert_eq!(
         viewer.next_message()["verb"],
         "STARTED",
-        "what was taken is answered"
+        "a set-up that was accepted before the drain is answered"
     );
     for n in [1, 2] {
         server.send(
--- a/crates/node/tests/support/directory.rs
+++ b/crates/node/tests/support/directory.rs
@@ -1,4 +1,4 @@
-//! A stand-in directory.
+//! A directory for tests.
 use super::{wait, Server};
 use hickory_proto::op::{Message as Dns, MessageType, OpCode, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
@@ -20,27 +20,31 @@
     pub started_ms: u64,
 }
 
-/// What the directory responds with.
+/// What the directory responds with: a list with its serial, or a fault.
 #[derive(Clone, Debug)]
 pub(crate) struct DirectoryState {
     pub serial: u32,
     pub servers: Vec<ListedServer>,
-    /// Responds with a failure, a truncated message, under another id or not at all instead.
+    /// The fault in its responses, if any.
     pub fault: Option<DirectoryFault>,
 }
 
-/// How the directory's responses are wrong.
+/// What is wrong with the directory's responses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum DirectoryFault {
+    /// They report a server failure.
     Failure,
+    /// They are marked as truncated.
     Truncated,
-    OtherId,
+    /// Their id differs from the query's.
+    WrongId,
+    /// None is sent.
     Silence,
-    /// Each response is sent when so many further queries have been received.
-    Behind(usize),
+    /// Each response is sent after this number of further queries was received.
+    DelayedBy(usize),
 }
 
-/// A stand-in directory.
+/// A directory for tests, which answers queries on a thread of its own.
 pub(crate) struct Directory {
     pub address: SocketAddr,
     state: Arc<Mutex<DirectoryState>>,
@@ -53,27 +57,27 @@
         let address = socket.local_addr().expect("bound");
         let state = Arc::new(Mutex::new(state));
         let queries = Arc::new(AtomicU64::new(0));
-        let (now, count) = (state.clone(), queries.clone());
+        let (current_state, query_count) = (state.clone(), queries.clone());
         std::thread::spawn(move || {
             let (mut bytes, mut delayed) = ([0u8; 1024], VecDeque::new());
-            while let Ok((got, from)) = socket.recv_from(&mut bytes) {
-                let Ok(query) = Dns::from_vec(&bytes[..got]) else {
+            while let Ok((length, from)) = socket.recv_from(&mut bytes) {
+                let Ok(query) = Dns::from_vec(&bytes[..length]) else {
                     continue;
                 };
-                let state = now.lock().expect("unpoisoned").clone();
+                let state = current_state.lock().expect("unpoisoned").clone();
                 let answer = response(query.metadata.id, &state);
                 if state.fault != Some(DirectoryFault::Silence) {
-                    delayed.push_back((answer.to_vec().expect("written"), from));
+                    delayed.push_back((answer.to_vec().expect("an encodable response"), from));
                 }
-                let behind = if let Some(DirectoryFault::Behind(n)) = state.fault {
-                    n
+                let delay = if let Some(DirectoryFault::DelayedBy(queries)) = state.fault {
+                    queries
                 } else {
                     0
                 };
-                for (answer, from) in delayed.drain(..delayed.len().saturating_sub(behind)) {
+                for (answer, from) in delayed.drain(..delayed.len().saturating_sub(delay)) {
                     let _ = socket.send_to(&answer, from);
                 }
-                count.fetch_add(1, Ordering::AcqRel);
+                query_count.fetch_add(1, Ordering::AcqRel);
             }
         });
         Directory {
@@ -91,16 +95,18 @@
         self.queries.load(Ordering::Acquire)
     }
 
-    /// Waits until it received so many queries more.
-    pub(crate) fn wait_for_queries(&self, more: u64) {
-        let wanted = self.query_count() + more;
-        wait("the directory is asked", || self.query_count() >= wanted);
+    /// Waits until `count` more queries were received.
+    pub(crate) fn wait_for_queries(&self, count: u64) {
+        let expected = self.query_count() + count;
+        wait("the directory is queried", || {
+            self.query_count() >= expected
+        });
     }
 }
 
 fn response(id: u16, state: &DirectoryState) -> Dns {
     let name = |text: &str| Name::from_str(text).expect("a name");
-    let id = if state.fault == Some(DirectoryFault::OtherId) {
+    let id = if state.fault == Some(DirectoryFault::WrongId) {
         id.wrapping_add(1)
     } else {
         id
--- a/crates/node/tests/support/fault_proxy.rs
+++ b/crates/node/tests/support/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy that withholds what one side sends, and cuts connections.
+//! A proxy that withholds the bytes that one side sends, and resets connections.
 use super::wait;
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{Read, Write};
@@ -7,16 +7,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Whose messages a proxy withholds.
+/// The direction in which a proxy withholds bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Withheld {
-    /// Of the side that connects.
+    /// From the side that connects.
     Requests,
-    /// Of the side that is connected to.
+    /// From the side that is connected to.
     Responses,
 }
 
-/// A proxy in front of a listener.
+/// A proxy in front of a listening process.
 pub(crate) struct FaultProxy {
     pub(crate) address: SocketAddr,
     state: Arc<ProxyState>,
@@ -25,16 +25,16 @@
 struct ProxyState {
     withheld: Withheld,
     is_withholding: AtomicBool,
-    /// Pieces that arrived while they were withheld.
-    withheld_pieces: AtomicUsize,
+    /// Number of checks that found bytes to be withheld since the last reset of the connections.
+    withheld_checks: AtomicUsize,
     connections: Mutex<Vec<ProxiedConnection>>,
 }
 
-/// Both sides of a connection.
+/// Both sides of a proxied connection.
 struct ProxiedConnection {
     client: TcpStream,
     server: TcpStream,
-    is_cut: Arc<AtomicBool>,
+    is_reset: Arc<AtomicBool>,
 }
 
 impl FaultProxy {
@@ -44,7 +44,7 @@
         let state = Arc::new(ProxyState {
             withheld,
             is_withholding: AtomicBool::new(false),
-            withheld_pieces: AtomicUsize::new(0),
+            withheld_checks: AtomicUsize::new(0),
             connections: Mutex::default(),
         });
         let of_connections = state.clone();
@@ -57,31 +57,31 @@
         FaultProxy { address, state }
     }
 
-    /// From now on, nothing that the one side sends is passed on.
+    /// From now on, withholds all bytes of the chosen direction.
     pub(crate) fn withhold(&self) {
         self.state.is_withholding.store(true, Ordering::Release);
     }
 
-    /// Waits until something was sent that is withheld, on a connection that was not reset.
+    /// Waits until bytes are withheld on a connection that was not reset.
     pub(crate) fn wait_for_withheld(&self) {
-        wait("something is withheld", || {
-            self.state.withheld_pieces.load(Ordering::Acquire) > 0
+        wait("the proxy withholds something", || {
+            self.state.withheld_checks.load(Ordering::Acquire) > 0
         });
     }
 
-    /// Passes on what was withheld, and all that follows.
+    /// Passes on the bytes that were withheld, and all that follow.
     pub(crate) fn pass_on(&self) {
         self.state.is_withholding.store(false, Ordering::Release);
     }
 
-    /// Ends all connections by a reset, as a machine does that fails and restarts. What was withheld on them is lost.
+    /// Resets all connections, as a machine does that fails and restarts. Bytes that were withheld on them are lost.
     pub(crate) fn reset_connections(&self) {
-        self.state.withheld_pieces.store(0, Ordering::Release);
+        self.state.withheld_checks.store(0, Ordering::Release);
         for connection in self.state.connections.lock().expect("unpoisoned").drain(..) {
-            connection.is_cut.store(true, Ordering::Release);
+            connection.is_reset.store(true, Ordering::Release);
             for stream in [&connection.client, &connection.server] {
-                set_socket_linger(stream, Some(Duration::ZERO)).expect("an option");
-                let _ = stream.shutdown(Shutdown::Read); // Its copying thread ends.
+                set_socket_linger(stream, Some(Duration::ZERO)).expect("the option can be set");
+                let _ = stream.shutdown(Shutdown::Read); // This ends its copying thread.
             }
         }
     }
@@ -97,18 +97,18 @@
             .expect("small messages go out at once");
     }
     let clone = |stream: &TcpStream| stream.try_clone().expect("a descriptor");
-    let is_cut = Arc::new(AtomicBool::new(false));
+    let is_reset = Arc::new(AtomicBool::new(false));
     let requests = Direction {
         from: clone(&client),
         to: clone(&server),
-        is_cut: is_cut.clone(),
-        is_withheld: state.withheld == Withheld::Requests,
+        is_reset: is_reset.clone(),
+        may_withhold: state.withheld == Withheld::Requests,
     };
     let responses = Direction {
         from: clone(&server),
         to: clone(&client),
-        is_cut: is_cut.clone(),
-        is_withheld: state.withheld == Withheld::Responses,
+        is_reset: is_reset.clone(),
+        may_withhold: state.withheld == Withheld::Responses,
     };
     state
         .connections
@@ -117,7 +117,7 @@
         .push(ProxiedConnection {
             client,
             server,
-            is_cut,
+            is_reset,
         });
     for direction in [requests, responses] {
         let state = state.clone();
@@ -125,36 +125,38 @@
     }
 }
 
-/// One direction of a connection.
+/// One direction of a proxied connection.
 struct Direction {
     from: TcpStream,
     to: TcpStream,
-    is_cut: Arc<AtomicBool>,
-    is_withheld: bool,
+    is_reset: Arc<AtomicBool>,
+    /// Whether this is the direction in which the proxy withholds bytes.
+    may_withhold: bool,
 }
 
 impl Direction {
-    fn is_cut(&self) -> bool {
-        self.is_cut.load(Ordering::Acquire)
+    fn is_reset(&self) -> bool {
+        self.is_reset.load(Ordering::Acquire)
     }
 
-    /// Copies until the connection ends.
+    /// Copies bytes until the connection ends.
     fn copy(mut self, state: &ProxyState) {
-        let mut piece = [0u8; 4096];
-        while let Ok(length @ 1..) = self.from.read(&mut piece) {
+        let mut buffer = [0u8; 4096];
+        while let Ok(length @ 1..) = self.from.read(&mut buffer) {
             self.wait_while_withheld(state);
-            if self.is_cut() || self.to.write_all(&piece[..length]).is_err() {
+            if self.is_reset() || self.to.write_all(&buffer[..length]).is_err() {
                 break;
             }
         }
-        if !self.is_cut() {
-            let _ = self.to.shutdown(Shutdown::Write); // It may have ended.
+        if !self.is_reset() {
+            let _ = self.to.shutdown(Shutdown::Write); // It may have ended already.
         }
     }
 
     fn wait_while_withheld(&self, state: &ProxyState) {
-        while self.is_withheld && state.is_withholding.load(Ordering::Acquire) && !self.is_cut() {
-            state.withheld_pieces.fetch_add(1, Ordering::AcqRel);
+        while self.may_withhold && state.is_withholding.load(Ordering::Acquire) && !self.is_reset()
+        {
+            state.withheld_checks.fetch_add(1, Ordering::AcqRel);
             std::thread::sleep(Duration::from_millis(1));
         }
     }
--- a/crates/node/tests/support/harness.rs
+++ b/crates/node/tests/support/harness.rs
@@ -1,5 +1,8 @@
-//! A node among stand-ins of its platform.
-use super::{accepted, listed_servers, wait, wait_or, Directory, DirectoryState, Server, Viewer};
+//! A node with the servers and the directory that it needs.
+use super::{
+    accepted, listed_servers, wait, wait_with_description, Directory, DirectoryState, Server,
+    Viewer,
+};
 use crankpaddle_front::EventObserver;
 use crankpaddle_node::Node;
 use crankpaddle_node_protocol::config::Config;
@@ -8,7 +11,7 @@
 use serde_json::{json, Value};
 use std::sync::Arc;
 
-/// A node among stand-ins. The first class is free, the second is paid.
+/// A node with test servers and a test directory. Its settings have two classes, [`FREE`] and [`PAID`].
 pub(crate) struct Harness {
     pub node: Arc<Node>,
     pub servers: Vec<Server>,
@@ -16,23 +19,26 @@
     pub config: Value,
 }
 
+/// A class whose set-ups may be sent again when they may have run.
 pub(crate) const FREE: &str = "preview";
+/// A class whose set-ups must not be sent again once they may have run.
 pub(crate) const PAID: &str = "licensed-view";
 
-pub(crate) fn settings(note_every: u64) -> Value {
+/// Settings with this interval between servers' updates of a session; 0 for none.
+pub(crate) fn fleet_settings(update_interval_ns: u64) -> Value {
     let class = |name: &str, semantics: &str| json!({"name": name, "aim": 10_000_000_000u64, "deadline": 30_000_000_000u64, "semantics": semantics, "worth": 1.0});
     json!({"index": 0, "siblings": 1, "az": 0, "azs": ["east"], "kinds": ["std"], "discovery": "push",
         "services": [class(FREE, "free"), class(PAID, "single_shot")],
         "family-info": {"cells": 1, "cabinets": 1, "class-top": [1, 1], "lowest-rung": [0, 0],
             "rate-factor": [1.0, 1.0], "fleet-kb": 900_000.0, "kb-per-weight": 300_000.0, "level-kb": [200.0, 400.0],
-            "rung-worth": [0.3, 1.0], "places-by-kind": [1000], "uplink-kb": 900_000.0, "told-every": note_every},
+            "rung-worth": [0.3, 1.0], "places-by-kind": [1000], "uplink-kb": 900_000.0, "told-every": update_interval_ns},
         "limits": {"attempts-cap": 4, "cancel": true, "connect-timeout": 250_000_000u64, "retry-after": true,
             "max-retry-after": 1_000_000_000u64},
         "rules": {"cold-share": 0.4, "cold": 1_000_000_000u64, "tip-multiple": 2.5, "fall": 1_000_000_000u64},
         "telemetry": {"fields": ["x0"], "how": "answers"}})
 }
 
-/// A node's configuration, on a port of the system's.
+/// The configuration of a node that listens on a port chosen by the system.
 pub(crate) fn configuration(servers: &[Server], directory: &Directory) -> Value {
     let instance = |s: &Server| {
         json!({"instanceId": s.name, "hostPort": s.address.to_string(), "zone": "east", "machineType": "std",
@@ -43,7 +49,7 @@
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "nameserver": directory.address.to_string(),
         "known": {"seq": 1, "results": [{"seq": 1, "fleet": {"generation": 1, "reset": true,
             "instances": instances}}]},
-        "settings": settings(0)})
+        "settings": fleet_settings(0)})
 }
 
 impl Harness {
@@ -55,7 +61,7 @@
         Harness::start_observed(servers, change, None)
     }
 
-    /// The same, and shows the placement policy's events to `observer`.
+    /// Starts a node with a changed configuration, and passes the placement policy's events to `observer`.
     pub(crate) fn start_observed(
         servers: u32,
         change: impl FnOnce(&mut Value),
@@ -70,8 +76,8 @@
         let mut config = configuration(&servers, &directory);
         change(&mut config);
         crankpaddle_net::start(Some(1));
-        let parsed = Config::parse(config.to_string().as_bytes()).expect("a sound configuration");
-        let node = Arc::new(Node::start_observed(parsed, observer).expect("it starts"));
+        let parsed = Config::parse(config.to_string().as_bytes()).expect("a valid configuration");
+        let node = Arc::new(Node::start_observed(parsed, observer).expect("the node starts"));
         Harness {
             node,
             servers,
@@ -84,10 +90,10 @@
         Viewer::connect(self.node.address())
     }
 
-    /// The set-up that some server receives next: which server, on which connection, and the message.
+    /// Waits for the next set-up that any server receives. Returns the server, its connection, and the message.
     pub(crate) fn next_set_up(&self) -> (&Server, usize, Message) {
         let mut found = None;
-        wait_or(
+        wait_with_description(
             || {
                 format!(
                     "a set-up reaches a server; the node holds {:?}",
@@ -95,20 +101,20 @@
                 )
             },
             || {
-                let first = |s: &'_ Server| s.try_take_request("SETUP");
+                let take_set_up = |server: &'_ Server| server.try_take_request("SETUP");
                 found = self
                     .servers
                     .iter()
                     .enumerate()
-                    .find_map(|(at, s)| Some((at, first(s)?)));
+                    .find_map(|(index, server)| Some((index, take_set_up(server)?)));
                 found.is_some()
             },
         );
-        let (at, (connection, message)) = found.expect("just found");
-        (&self.servers[at], connection, message)
+        let (index, (connection, message)) = found.expect("just found");
+        (&self.servers[index], connection, message)
     }
 
-    /// Establishes a session: its viewer's set-up, accepted by the server that receives it.
+    /// Establishes a session: the viewer sends a set-up, and the server that receives it accepts it.
     pub(crate) fn establish(&self, viewer: &mut Viewer, tag: Tag, class: &str) -> (&Server, usize) {
         viewer.start(tag, class, 15_000);
         let (server, connection, message) = self.next_set_up();
@@ -119,7 +125,7 @@
     }
 
     pub(crate) fn wait_until_idle(&self) {
-        wait("nothing is held any more", || {
+        wait("no set-up, session or table entry is left", || {
             let counts = self.node.counts();
             (counts.waiting, counts.playing, counts.entries) == (0, 0, 0)
         });
@@ -127,6 +133,6 @@
 }
 
 /// A configuration as the node reads it.
-pub(crate) fn parsed(config: &Value) -> Config {
-    Config::parse(config.to_string().as_bytes()).expect("sound")
+pub(crate) fn parse_config(config: &Value) -> Config {
+    Config::parse(config.to_string().as_bytes()).expect("a valid configuration")
 }
--- a/crates/node/tests/support/messages.rs
+++ b/crates/node/tests/support/messages.rs
@@ -1,4 +1,4 @@
-//! Messages as the platform's protocol has them.
+//! Messages of the platform's protocols.
 use crankpaddle_node_protocol::rtsp::Message;
 use crankpaddle_node_protocol::Tag;
 use serde_json::{json, Value};
@@ -29,8 +29,9 @@
     Tag::parse(&format!("{n:016x}")).expect("16 hex digits")
 }
 
-pub(crate) fn set_up(tag: Tag, class: &str, left: &str, more: &str) -> Value {
+/// A viewer's set-up request. `left` is the longest wait in milliseconds as text, and `more_extras` is appended to the extras.
+pub(crate) fn set_up(tag: Tag, class: &str, left: &str, more_extras: &str) -> Value {
     json!({"verb": "START", "tag": tag.as_str(), "blob": format!("offer {tag}\r\n"), "opts": {"class": class,
         "left": left, "key": "7f3a9c21e0b4d655",
-        "extras": format!("home:0;copies:1;top:1;viewer:00000000b4d65521{more}")}})
+        "extras": format!("home:0;copies:1;top:1;viewer:00000000b4d65521{more_extras}")}})
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,6 +1,7 @@
-//! A node on loopback with stand-ins of its platform: servers, a directory and viewers that do what a test makes them do.
-//! They are written from the platform's protocol and block on threads of their own; nothing waits without a bound.
-#![allow(dead_code, unused_imports)] // Each test file uses its part.
+//! Test support: a node on loopback, with servers, a directory and viewers that are controlled by the test.
+//!
+//! These implement the platform's protocol, and block on threads of their own. All waits are bounded by [`TEST_TIMEOUT`].
+#![allow(dead_code, unused_imports)] // No test file uses all of it.
 mod directory;
 mod fault_proxy;
 mod gate;
@@ -15,28 +16,34 @@
 };
 pub(crate) use fault_proxy::{FaultProxy, Withheld};
 pub(crate) use gate::Gate;
-pub(crate) use harness::{configuration, parsed, settings, Harness, FREE, PAID};
+pub(crate) use harness::{configuration, fleet_settings, parse_config, Harness, FREE, PAID};
 pub(crate) use messages::{accepted, response, session_of, session_update, set_up, tag};
 pub(crate) use races::{
-    alone, connect_to_vanished, long_connect_timeout, start_with_one_draining, ConnectInProgress,
+    connect_to_failed_machine, lock_worker, long_connect_timeout, start_with_one_draining,
+    ConnectInProgress,
 };
 pub(crate) use server::{is_request, receive_messages, Server, ServerEvent};
 pub(crate) use viewer::Viewer;
 
 use std::time::{Duration, Instant};
 
-/// The longest that any test waits for an event, also on a busy machine.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+/// The longest that a test waits for an event. It is long, so that tests also pass on a busy machine.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Polls a condition until it holds; panics after [`LONG`].
-pub(crate) fn wait(what: &str, mut holds: impl FnMut() -> bool) {
-    wait_or(|| what.to_owned(), &mut holds);
+/// Polls a condition until it holds; panics after [`TEST_TIMEOUT`].
+pub(crate) fn wait(description: &str, mut condition: impl FnMut() -> bool) {
+    wait_with_description(|| description.to_owned(), &mut condition);
 }
 
-fn wait_or(what: impl Fn() -> String, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + LONG;
-    while !holds() {
-        assert!(Instant::now() < until, "waited in vain: {}", what());
+/// Like [`wait`], with a description that is made when the wait has failed.
+fn wait_with_description(description: impl Fn() -> String, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting until {}",
+            description()
+        );
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/node/tests/support/server.rs
+++ b/crates/node/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! A stand-in server.
+//! A server for tests.
 use super::wait;
 use crankpaddle_node_protocol::rtsp::{Decoder, Kind, Message};
 use std::cell::RefCell;
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What happened at a server, on its connection of this number.
+/// An event on one of a server's connections, with the connection's number.
 #[derive(Debug)]
 pub(crate) enum ServerEvent {
     Opened(usize),
@@ -18,23 +18,26 @@
     Closed(usize),
 }
 
-/// A stand-in server.
+/// A server for tests, which records what it receives and sends what the test tells it to.
 pub(crate) struct Server {
     pub name: String,
     pub address: SocketAddr,
     connections: Arc<Mutex<Vec<TcpStream>>>,
     events: Receiver<ServerEvent>,
-    /// Events that no test has taken yet.
+    /// Events that the test has not taken yet.
     untaken: RefCell<VecDeque<ServerEvent>>,
     state: Arc<ListenerState>,
     listener: std::thread::Thread,
 }
 
-/// What the listening thread is to do.
+/// The state that a server shares with its listening thread.
 #[derive(Default)]
 struct ListenerState {
+    /// Set to end the thread.
     is_stopped: AtomicBool,
-    has_vanished: AtomicBool,
+    /// Set to make the thread stop accepting.
+    is_machine_failed: AtomicBool,
+    /// Set by the thread when it has stopped accepting.
     is_parked: AtomicBool,
 }
 
@@ -49,8 +52,9 @@
         let (sender, events) = channel();
         let connections: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
         let state = Arc::new(ListenerState::default());
-        let (accepted, until) = (connections.clone(), state.clone());
-        let thread = std::thread::spawn(move || accept(&listener, &accepted, &until, &sender));
+        let (accepted, listener_state) = (connections.clone(), state.clone());
+        let thread =
+            std::thread::spawn(move || accept(&listener, &accepted, &listener_state, &sender));
         Server {
             name: format!("s-{number:08x}"),
             address,
@@ -62,19 +66,19 @@
         }
     }
 
-    /// Takes the first event for which `wanted` returns a value; the others stay.
-    fn take_event<T>(&self, wanted: impl Fn(&ServerEvent) -> Option<T>) -> Option<T> {
+    /// Takes the first event for which `select` returns a value, and returns that value. Other events stay.
+    fn take_event<T>(&self, select: impl Fn(&ServerEvent) -> Option<T>) -> Option<T> {
         let mut untaken = self.untaken.borrow_mut();
         untaken.extend(self.events.try_iter());
         let (position, found) = untaken
             .iter()
             .enumerate()
-            .find_map(|(position, event)| Some((position, wanted(event)?)))?;
+            .find_map(|(position, event)| Some((position, select(event)?)))?;
         untaken.remove(position);
         Some(found)
     }
 
-    /// The first request with this method, if one was received.
+    /// Takes the first request with this method, if one was received.
     pub(crate) fn try_take_request(&self, method: &str) -> Option<(usize, Message)> {
         self.take_event(|event| match event {
             ServerEvent::Received(connection, message) if is_request(message, method) => {
@@ -84,7 +88,7 @@
         })
     }
 
-    /// Waits until a connection was opened that was not waited for yet; its number.
+    /// Waits for the next new connection and returns its number.
     pub(crate) fn wait_for_connection(&self) -> usize {
         let opened = |event: &ServerEvent| match event {
             ServerEvent::Opened(connection) => Some(*connection),
@@ -98,17 +102,17 @@
         found.unwrap_or_default()
     }
 
-    /// Waits for the first request with this method, and on which connection.
+    /// Waits for the first request with this method. Returns its connection and the request.
     pub(crate) fn wait_for_request(&self, method: &str) -> (usize, Message) {
         let mut found = None;
-        wait(method, || {
+        wait(&format!("the server receives {method}"), || {
             found = self.try_take_request(method);
             found.is_some()
         });
         found.expect("just found")
     }
 
-    /// All events that were not taken until now, without waiting.
+    /// Takes all events that have not been taken, without waiting.
     pub(crate) fn take_events(&self) -> Vec<ServerEvent> {
         let mut untaken = self.untaken.borrow_mut();
         untaken.extend(self.events.try_iter());
@@ -130,42 +134,42 @@
         let _ = connections[connection].shutdown(Shutdown::Both);
     }
 
-    /// The machine fails: open connections stay open and silent, and no new one is established. The returned connections fill
-    /// the listener's queue, and must be kept for as long.
-    pub(crate) fn vanish(&self) -> Vec<TcpStream> {
+    /// Simulates a machine failure: open connections stay open and silent, and no new one is established. The returned
+    /// connections fill the listener's accept queue, and must be kept for as long as the failure is to last.
+    pub(crate) fn simulate_machine_failure(&self) -> Vec<TcpStream> {
         self.state.is_parked.store(false, Ordering::Release);
-        self.state.has_vanished.store(true, Ordering::Release);
-        self.wake_listener(); // It accepts no more.
+        self.state.is_machine_failed.store(true, Ordering::Release);
+        self.wake_listener(); // It then parks instead of accepting.
 
-        // Why: an accept after the queue was filled would leave room for one connection.
+        // An accept after the queue was filled would leave room in it for one connection.
         wait("the listener is parked", || {
             self.state.is_parked.load(Ordering::Acquire)
         });
-        let short = Duration::from_millis(100);
-        std::iter::from_fn(|| TcpStream::connect_timeout(&self.address, short).ok()).collect()
+        let timeout = Duration::from_millis(100);
+        std::iter::from_fn(|| TcpStream::connect_timeout(&self.address, timeout).ok()).collect()
     }
 
-    /// A machine that vanished accepts connections again.
+    /// Ends a simulated machine failure: the server accepts connections again.
     pub(crate) fn resume_accepting(&self) {
-        self.state.has_vanished.store(false, Ordering::Release);
+        self.state.is_machine_failed.store(false, Ordering::Release);
         self.listener.unpark();
     }
 
-    /// A machine that vanished never returns; another may listen at its address.
+    /// Ends the server after a simulated machine failure, so that another may listen at its address.
     pub(crate) fn shut_down(&self) {
         self.state.is_stopped.store(true, Ordering::Release);
         self.resume_accepting();
     }
 
-    /// Whether any set-up was received that was not taken.
+    /// Takes a set-up if one was received; false if there was none.
     pub(crate) fn has_received_set_up(&self) -> bool {
         self.try_take_request("SETUP").is_some()
     }
 
-    /// The process dies: its listener and its connections are closed.
+    /// Simulates the death of the server process: its listener and its connections are closed.
     pub(crate) fn kill(&self) {
         self.state.is_stopped.store(true, Ordering::Release);
-        self.wake_listener(); // It ends.
+        self.wake_listener(); // Its thread then ends.
         for connection in self.connections.lock().expect("unpoisoned").iter() {
             let _ = connection.shutdown(Shutdown::Both);
         }
@@ -188,14 +192,14 @@
 ) {
     for stream in listener.incoming() {
         if state.is_stopped.load(Ordering::Acquire) {
-            return; // The listener closes with this.
+            return; // This closes the listener.
         }
-        while state.has_vanished.load(Ordering::Acquire) {
+        while state.is_machine_failed.load(Ordering::Acquire) {
             state.is_parked.store(true, Ordering::Release);
-            std::thread::park(); // The listener stays open without accepting.
+            std::thread::park(); // The listener stays open, and nothing is accepted.
         }
         let Ok(stream) = stream else { return };
-        let _ = stream.set_nodelay(true); // Only slower without it.
+        let _ = stream.set_nodelay(true); // A failure only makes the test slower.
         let number = {
             let mut connections = connections.lock().expect("unpoisoned");
             connections.push(stream.try_clone().expect("a descriptor"));
@@ -214,12 +218,12 @@
     }
 }
 
-/// Hands each message of a connection to `handle`, with the time at which it was read, until the connection ends.
+/// Calls `handle` with each message of a connection and the time at which it was read, until the connection ends.
 pub(crate) fn receive_messages(mut stream: TcpStream, mut handle: impl FnMut(Message, Instant)) {
-    let (mut decoder, mut messages, mut piece) = (Decoder::default(), Vec::new(), [0u8; 4096]);
-    while let Ok(length @ 1..) = stream.read(&mut piece) {
+    let (mut decoder, mut messages, mut buffer) = (Decoder::default(), Vec::new(), [0u8; 4096]);
+    while let Ok(length @ 1..) = stream.read(&mut buffer) {
         let received_at = Instant::now();
-        if decoder.feed(&piece[..length], &mut messages).is_err() {
+        if decoder.feed(&buffer[..length], &mut messages).is_err() {
             return;
         }
         for message in messages.drain(..) {
--- a/crates/node/tests/support/viewer.rs
+++ b/crates/node/tests/support/viewer.rs
@@ -1,12 +1,12 @@
-//! A stand-in viewer.
-use super::{set_up, LONG};
+//! A viewer for tests.
+use super::{set_up, TEST_TIMEOUT};
 use crankpaddle_node_protocol::Tag;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A stand-in viewer's connection.
+/// The connection of a viewer for tests.
 pub(crate) struct Viewer {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -15,7 +15,9 @@
 impl Viewer {
     pub(crate) fn connect(address: SocketAddr) -> Viewer {
         let stream = TcpStream::connect(address).expect("the node listens");
-        stream.set_read_timeout(Some(LONG)).expect("a bound");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a bound");
         stream
             .set_nodelay(true)
             .expect("small lines go out at once");
@@ -35,47 +37,49 @@
         self.send(format!("{value}\n").as_bytes());
     }
 
-    pub(crate) fn start(&mut self, tag: Tag, class: &str, left: u64) {
-        self.send_json(&set_up(tag, class, &left.to_string(), ""));
+    pub(crate) fn start(&mut self, tag: Tag, class: &str, max_wait_ms: u64) {
+        self.send_json(&set_up(tag, class, &max_wait_ms.to_string(), ""));
     }
 
     pub(crate) fn finish(&mut self, tag: Tag, cause: u16) {
         self.send_json(&json!({"verb": "FINISH", "tag": tag.as_str(), "opts": {}, "rc": cause}));
     }
 
-    /// Breaks the connection at once.
+    /// Resets the connection.
     pub(crate) fn reset(self) {
+        // With this option, dropping the stream resets the connection.
         rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO))
-            .expect("an option");
+            .expect("the option can be set");
     }
 
-    /// Closes the connection when something has arrived on it, without reading that.
+    /// Waits until the node has sent something, and closes the connection without reading it.
     pub(crate) fn close_unread(self) {
-        let arrived = self.stream.peek(&mut [0u8; 1]).expect("something arrives");
-        assert!(arrived > 0, "the node closed the connection");
+        let length = self.stream.peek(&mut [0u8; 1]).expect("something arrives");
+        assert!(length > 0, "the node closed the connection");
     }
 
-    /// The next message.
+    /// Waits for the next message.
     pub(crate) fn next_message(&mut self) -> Value {
         let mut line = String::new();
-        let got = self
+        let length = self
             .reader
             .read_line(&mut line)
             .expect("the node sends something in time");
-        assert!(got > 0, "the node closed the connection");
+        assert!(length > 0, "the node closed the connection");
         serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line:?}: {e}"))
     }
 
-    /// Whether the connection ended without a further message.
-    pub(crate) fn is_closed(&mut self) -> bool {
+    /// Waits for the next message or the end of the connection; true if the connection ended without a further message.
+    pub(crate) fn ends_without_message(&mut self) -> bool {
         let mut line = Vec::new();
         match self.reader.read_until(b'\n', &mut line) {
-            Ok(got) => got == 0,
+            Ok(length) => length == 0,
             Err(e) => e.kind() == ErrorKind::ConnectionReset,
         }
     }
 
-    /// Waits for the answer to a test: all sent before on this connection was handled.
+    /// Sends an echo request and returns the next message. When that is the echo's answer, the node has handled everything that
+    /// was sent before on this connection.
     pub(crate) fn echo(&mut self) -> Value {
         self.send_json(&json!({"verb": "ECHO", "tag": "00000000000000ff", "opts": {}, "rc": 0}));
         self.next_message()
--- a/crates/node/tests/undelivered.rs
+++ b/crates/node/tests/undelivered.rs
@@ -1,19 +1,19 @@
-//! Messages that the kernel accepted and their viewer never got, because its connection was ending.
+//! Messages that the kernel accepted and that did not reach the viewer or the server because their connection was ending.
 mod support;
 use crankpaddle::Event;
 use crankpaddle_node_protocol::rtsp;
 use support::*;
 
-/// A node with one session on a connection of its own, and another connection with a session, which stays open.
+/// A node with two sessions on separate connections. A test closes the first connection; the second stays open.
 struct TwoSessions {
     harness: Harness,
     leaving: Viewer,
     staying: Viewer,
-    /// The server's connection of the first session.
+    /// The server's connection for the first session.
     link: usize,
 }
 
-/// Starts it with a gate at the updates of sessions, and stops the node's worker there.
+/// Starts a node with two sessions, and stops its worker thread at a gate for session updates.
 fn two_sessions_and_a_stopped_worker() -> (TwoSessions, Gate) {
     let (gate, observer) = Gate::at(|event| matches!(event, Event::SessionUpdated { .. }));
     let harness = Harness::start_observed(1, |_| {}, Some(observer));
@@ -40,10 +40,10 @@
     );
 }
 
-/// Guards against a release that is written to a connection whose viewer has just closed it, and is never sent again.
+/// Guards against a notification that is written to a connection whose viewer has just closed it, and is never sent again.
 #[test]
 fn a_release_that_crosses_the_close_of_its_connection_is_sent_on_another() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let (mut sessions, gate) = two_sessions_and_a_stopped_worker();
     sessions.harness.servers[0].send(sessions.link, &rtsp::release(tag(1), 16));
     drop(sessions.leaving);
@@ -51,10 +51,11 @@
     assert_released(&mut sessions.staying, 1);
 }
 
-/// Guards against a release that the viewer's machine has received and its viewer has not, and is never sent again.
+/// Guards against a notification that the viewer's machine has received but the viewer has not read, and that is never sent
+/// again.
 #[test]
 fn a_release_that_its_viewer_closes_without_reading_is_sent_on_another_connection() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let (mut sessions, gate) = two_sessions_and_a_stopped_worker();
     gate.open();
     sessions.harness.servers[0].send(sessions.link, &rtsp::release(tag(1), 16));
@@ -65,7 +66,7 @@
 /// Guards against a session that plays for nobody because its viewer closed the connection while the answer was under way.
 #[test]
 fn a_session_whose_answer_crosses_the_close_of_its_connection_is_released_at_its_server() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let (sessions, gate) = two_sessions_and_a_stopped_worker();
     gate.open();
     let harness = &sessions.harness;
@@ -86,7 +87,7 @@
 /// (incident 313391).
 #[test]
 fn a_viewer_that_leaves_at_the_server_before_its_answer_arrives_is_answered_once() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let harness = Harness::start(1);
     let proxy = FaultProxy::start(harness.node.address(), Withheld::Responses);
     let mut viewer = Viewer::connect(proxy.address);
@@ -104,13 +105,16 @@
         (&"STARTED".into(), &"described".into())
     );
     assert_eq!(viewer.echo()["verb"], "ECHOED", "nothing else was sent");
-    assert!(!server.has_received_set_up(), "it was set up twice");
+    assert!(
+        !server.has_received_set_up(),
+        "the session was set up twice"
+    );
 }
 
-/// Guards against a release that is lost with a proxy that has received it and not passed it on.
+/// Guards against a notification that is lost because a proxy has received it and fails before passing it on.
 #[test]
 fn a_release_that_a_failing_proxy_holds_is_sent_on_another_connection() {
-    let _alone = alone();
+    let _worker = lock_worker();
     let harness = Harness::start(1);
     let proxy = FaultProxy::start(harness.node.address(), Withheld::Responses);
     let (mut behind_proxy, mut direct) = (Viewer::connect(proxy.address), harness.viewer());
@@ -124,15 +128,15 @@
     proxy.pass_on();
 }
 
-/// Sends a session's release through a proxy in front of its server, which loses its connections so many times with the
-/// release, and waits for the server to get it.
+/// Sends a session's release through a proxy in front of its server. The proxy loses the release `resets` times, each time by
+/// resetting its connections. Waits until the server gets the release.
 fn release_through_resets(resets: usize) {
-    let _alone = alone();
+    let _worker = lock_worker();
     let harness = Harness::start(1);
     let proxy = FaultProxy::start(harness.servers[0].address, Withheld::Requests);
     harness
         .directory
-        .update(|t| (t.serial, t.servers[0].address) = (2, proxy.address));
+        .update(|state| (state.serial, state.servers[0].address) = (2, proxy.address));
     harness.directory.wait_for_queries(3);
     let mut viewer = harness.viewer();
     let (server, _) = harness.establish(&mut viewer, tag(1), FREE);
@@ -154,7 +158,7 @@
     release_through_resets(1);
 }
 
-/// Guards against the same where the next connection, for which the release has waited, is lost with it too.
+/// Guards against the same fault when further connections on which the release is sent again are reset too.
 #[test]
 fn a_release_is_sent_again_as_often_as_its_connection_is_lost() {
     release_through_resets(3);
--- a/crates/node/tests/unusual_deployment.rs
+++ b/crates/node/tests/unusual_deployment.rs
@@ -1,5 +1,5 @@
-//! A deployment with unusual settings: other class names, three effects, no zones, seven tenants, a floor over the
-//! lowest rung. All of it comes from the settings; servers answer in every way there is, and the rules hold.
+//! A deployment with unusual settings: other class names, three kinds of class semantics, no zones, seven tenants, and a class
+//! whose lowest rung is above the first. Servers accept, reject and fail set-ups, and the rules of each class hold.
 mod support;
 use crankpaddle_node_protocol::rtsp::Message;
 use crankpaddle_node_protocol::Tag;
@@ -8,19 +8,19 @@
 use support::*;
 
 const CLASSES: [&str; 3] = ["amber", "birch", "cedar"];
-const REQUESTS: u64 = 63;
+const REQUEST_COUNT: u64 = 63;
 
-/// What has happened to one request.
+/// What was observed of one request.
 #[derive(Default)]
-struct Story {
+struct RequestHistory {
     class: usize,
     sent: u32,
     may_have_run: bool,
     answers: u32,
 }
 
-/// Requests by their session's id.
-type Stories = BTreeMap<String, Story>;
+/// The history of each request, by session id.
+type Requests = BTreeMap<String, RequestHistory>;
 
 /// An attempt that a server has not answered.
 struct Outstanding<'a> {
@@ -58,35 +58,35 @@
     }
 }
 
-fn send_requests(viewer: &mut Viewer) -> Stories {
-    let mut stories = Stories::new();
-    for n in 1..=REQUESTS {
+fn send_requests(viewer: &mut Viewer) -> Requests {
+    let mut requests = Requests::new();
+    for n in 1..=REQUEST_COUNT {
         let class = n as usize % 3;
         let mut request = set_up(tag(n), CLASSES[class], "8000", "");
         request["opts"]["tenant"] = json!(format!("t{}", n % 7));
         viewer.send_json(&request);
-        let story = Story {
+        let history = RequestHistory {
             class,
-            ..Story::default()
+            ..RequestHistory::default()
         };
-        stories.insert(tag(n).as_str().to_owned(), story);
+        requests.insert(tag(n).as_str().to_owned(), history);
     }
-    stories
+    requests
 }
 
-/// Takes all set-ups that the servers have received, and checks each against the rules.
-fn take_attempts<'a>(
+/// Takes all set-ups that the servers have received, and asserts that each is allowed by the rules of its class.
+fn take_outstanding_attempts<'a>(
     servers: &'a [Server],
-    stories: &mut Stories,
+    requests: &mut Requests,
 ) -> BTreeMap<String, Outstanding<'a>> {
     let mut out = BTreeMap::new();
     for server in servers {
         while let Some((connection, message)) = server.try_take_request("SETUP") {
             let session = session_of(&message);
-            let story = stories
+            let history = requests
                 .get_mut(session.as_str())
                 .expect("a request that a viewer sent");
-            check_attempt(story, &message);
+            assert_attempt_allowed(history, &message);
             let attempt = Outstanding {
                 server,
                 connection,
@@ -94,31 +94,38 @@
             };
             assert!(
                 out.insert(session.as_str().to_owned(), attempt).is_none(),
-                "two attempts out for {session}"
+                "two attempts are outstanding for {session}"
             );
         }
     }
     out
 }
 
-fn check_attempt(story: &mut Story, message: &Message) {
+fn assert_attempt_allowed(history: &mut RequestHistory, message: &Message) {
     let session = session_of(message);
     assert!(
-        !(story.class == 0 && story.may_have_run),
-        "what may have run once is sent again: {session}"
+        !(history.class == 0 && history.may_have_run),
+        "{session} may have run and was sent again"
     );
-    assert_eq!(message.header("Subject"), Some(CLASSES[story.class]));
+    assert_eq!(message.header("Subject"), Some(CLASSES[history.class]));
     let rung: u8 = message
         .header("Rate-Step")
         .map_or(0, |r| r.parse().unwrap());
-    let (floor, top) = [(1, 2), (0, 2), (0, 1)][story.class];
-    assert!((floor..=top).contains(&rung), "{session} at rung {rung}");
-    story.sent += 1;
-    assert!(story.sent <= 4, "{session} was sent {} times", story.sent);
+    let (min_rung, max_rung) = [(1, 2), (0, 2), (0, 1)][history.class];
+    assert!(
+        (min_rung..=max_rung).contains(&rung),
+        "{session} at rung {rung}"
+    );
+    history.sent += 1;
+    assert!(
+        history.sent <= 4,
+        "{session} was sent {} times",
+        history.sent
+    );
 }
 
-/// Sends an echo and reads the answers before its own; returns how many there were.
-fn read_answers(viewer: &mut Viewer, stories: &mut Stories) -> u64 {
+/// Sends an echo request and reads all messages before its answer. Returns how many set-ups were answered.
+fn read_answers(viewer: &mut Viewer, requests: &mut Requests) -> u64 {
     viewer.send_json(&json!({"verb": "ECHO", "tag": "00000000000000ff", "opts": {}, "rc": 0}));
     let mut answered = 0;
     loop {
@@ -126,16 +133,16 @@
         if line["verb"] == "ECHOED" {
             return answered;
         }
-        let story = stories
+        let history = requests
             .get_mut(line["tag"].as_str().unwrap())
             .expect("an answer to a request");
-        story.answers += 1;
+        history.answers += 1;
         answered += 1;
-        assert_eq!(story.answers, 1, "{line}");
+        assert_eq!(history.answers, 1, "{line}");
         let refused =
             line["verb"] == "FINISH" && [34, 42, 102].contains(&line["rc"].as_u64().unwrap());
         assert!(
-            !(refused && story.class == 0 && story.may_have_run),
+            !(refused && history.class == 0 && history.may_have_run),
             "a rejection states that nothing ran: {line}"
         );
     }
@@ -146,15 +153,15 @@
     let harness = Harness::start_with(3, deployment);
     let mut viewer = harness.viewer();
     assert_eq!(viewer.echo()["rc"], 1);
-    let mut stories = send_requests(&mut viewer);
+    let mut requests = send_requests(&mut viewer);
     let (mut answered, mut received) = (0, 0u64);
-    while answered < REQUESTS {
-        // All attempts that the servers have received are taken; then each is answered, each way in turn; then the viewer's
-        // answers are read.
-        for (name, attempt) in take_attempts(&harness.servers, &mut stories) {
+    while answered < REQUEST_COUNT {
+        // In each round all attempts that the servers have received are taken and answered in one of four ways in turn, and
+        // then the viewer's answers are read.
+        for (name, attempt) in take_outstanding_attempts(&harness.servers, &mut requests) {
             received += 1;
-            let story = stories.get_mut(&name).expect("just looked at");
-            story.may_have_run |= received % 4 != 0;
+            let history = requests.get_mut(&name).expect("just looked at");
+            history.may_have_run |= received % 4 != 0;
             let answer = match received % 4 {
                 0 => response(453, 1, attempt.session, "", ""),
                 1 => response(500, 1, attempt.session, "", ""),
@@ -162,8 +169,11 @@
             };
             attempt.server.send(attempt.connection, &answer);
         }
-        answered += read_answers(&mut viewer, &mut stories);
+        answered += read_answers(&mut viewer, &mut requests);
     }
     let established = harness.node.counts().playing;
-    assert!(established > 20, "{established} of {REQUESTS} stand");
+    assert!(
+        established > 20,
+        "{established} of {REQUEST_COUNT} sessions are established"
+    );
 }
