--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -7,15 +7,15 @@
 /// Minimum number of descriptors for viewers and servers together, however few the machine allows.
 const MIN_SHARED_DESCRIPTORS: usize = 4;
 /// Unanswered set-ups of the whole node that each MB of memory allows.
-const PENDING_PER_MB: usize = 16;
+const PENDING_SET_UPS_PER_MB: usize = 16;
 /// Maximum number of unanswered set-ups of the whole node, however much memory there is.
-const MAX_PENDING: usize = 8192;
+const MAX_PENDING_SET_UPS: usize = 8192;
 /// Unanswered set-ups of one connection that each MB of memory allows.
-const PENDING_PER_CONNECTION_PER_MB: usize = 4;
+const PENDING_SET_UPS_PER_CONNECTION_PER_MB: usize = 4;
 /// Maximum number of unanswered set-ups of one connection, however much memory there is.
-const MAX_PENDING_PER_CONNECTION: usize = 512;
+const MAX_PENDING_SET_UPS_PER_CONNECTION: usize = 512;
 /// Maximum number of bytes that are buffered for one slow reader.
-const OUTBOX_BYTES: usize = 64 * 1024;
+const MAX_OUTBOX_BYTES: usize = 64 * 1024;
 
 /// Bounds on resources, derived from the machine's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,11 +46,13 @@
         ResourceBudget {
             max_viewers,
             max_links: descriptors - max_viewers,
-            max_pending_set_ups: memory_mb.saturating_mul(PENDING_PER_MB).min(MAX_PENDING),
+            max_pending_set_ups: memory_mb
+                .saturating_mul(PENDING_SET_UPS_PER_MB)
+                .min(MAX_PENDING_SET_UPS),
             max_pending_set_ups_per_connection: memory_mb
-                .saturating_mul(PENDING_PER_CONNECTION_PER_MB)
-                .min(MAX_PENDING_PER_CONNECTION),
-            max_outbox_bytes: OUTBOX_BYTES,
+                .saturating_mul(PENDING_SET_UPS_PER_CONNECTION_PER_MB)
+                .min(MAX_PENDING_SET_UPS_PER_CONNECTION),
+            max_outbox_bytes: MAX_OUTBOX_BYTES,
         }
     }
 }
--- a/crates/node/src/event_loop/client_requests.rs
+++ b/crates/node/src/event_loop/client_requests.rs
@@ -44,7 +44,7 @@
             tracing::debug!(session_id = %set_up.tag, connection_id = connection.0, "set-up not accepted, its connection is being closed");
             return;
         }
-        let request = self.read_set_up(set_up);
+        let request = self.validate_set_up(set_up);
         if self.players.contains_key(&set_up.tag) {
             return self.handle_duplicate(connection, set_up.tag, request.as_ref().ok());
         }
@@ -172,14 +172,14 @@
     }
 
     /// Parses the fields of a set-up, and looks up the names of its class and its tenant in the settings.
-    fn read_set_up(&self, set_up: &viewers::SetUp) -> Result<ValidSetUp, InvalidField> {
+    fn validate_set_up(&self, set_up: &viewers::SetUp) -> Result<ValidSetUp, InvalidField> {
         let params = set_up.set_up_params()?;
-        let open = self.open_request(set_up.tag, &params)?;
+        let open = self.build_open_request(set_up.tag, &params)?;
         Ok(ValidSetUp { params, open })
     }
 
     /// Converts a set-up's parameters into the core's request. Fails if a field is not valid under the settings.
-    fn open_request(
+    fn build_open_request(
         &self,
         session_id: Tag,
         params: &SetUpParams,
--- a/crates/node/src/event_loop/delivery.rs
+++ b/crates/node/src/event_loop/delivery.rs
@@ -19,7 +19,7 @@
     /// Number of bytes sent on the connection that the peer's machine has acknowledged; `None` if the kernel does not report
     /// it.
     acknowledged: Option<u64>,
-    /// Whether the connection was reset, so that the peer may not have read all that its machine acknowledged.
+    /// Whether reading failed, as it does after a reset, so that the peer may not have read all that its machine acknowledged.
     may_be_unread: bool,
 }
 
--- a/crates/node/src/event_loop/server_links.rs
+++ b/crates/node/src/event_loop/server_links.rs
@@ -336,7 +336,8 @@
         }
         let session_id = attempt.session_id;
         self.complete_set_up(id, outcome, LoadReport::new());
-        // The server may have accepted the set-up, and the session would play there without a viewer.
+        // The server may have accepted the set-up without its response being received. Without a release, the session would
+        // play there without a viewer.
         let release = ServerRelease::new(server, session_id, cause::CUT);
         self.release_at_server(None, release);
     }
--- a/crates/node/src/event_loop/shutdown.rs
+++ b/crates/node/src/event_loop/shutdown.rs
@@ -43,7 +43,7 @@
         }
         let previous_pass = std::mem::replace(&mut self.last_close_pass, now);
         let connections = self.shared.connections.all();
-        let mut open = connections
+        let mut open_connections = connections
             .iter()
             .filter(|connection| connection.is_open())
             .count();
@@ -52,11 +52,11 @@
                 connection.is_open() && !connection.has_pending_work(now, UnreadInput::Include);
             if is_idle
                 && is_unlikely_to_send(connection.last_used(), previous_pass, now)
-                && self.may_close(&connection, open)
+                && self.may_close(&connection, open_connections)
             {
                 tracing::debug!(connection_id = connection.id.0, "closing for shutdown");
                 connection.begin_close();
-                open -= 1;
+                open_connections -= 1;
             }
         }
     }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -98,9 +98,11 @@
     pub(crate) drop_counters: DropCounters,
     /// Number of descriptors of connections to servers, including connections that are being closed.
     pub(crate) link_descriptors: AtomicUsize,
-    /// The event loop updates this and the next two for [`Counts`].
+    /// [`Counts::waiting`], set by the event loop.
     pub(crate) waiting: AtomicUsize,
+    /// [`Counts::playing`], set by the event loop.
     pub(crate) playing: AtomicUsize,
+    /// [`Counts::entries`], set by the event loop.
     pub(crate) entries: AtomicUsize,
     inbox: Sender<InboxMessage>,
     nameserver: Mutex<SocketAddr>,
--- a/crates/node/src/viewer_connection.rs
+++ b/crates/node/src/viewer_connection.rs
@@ -95,9 +95,9 @@
     }
 
     /// Sets when the connection expires. Has no effect on a connection that is closing, which has a deadline of its own.
-    pub(crate) fn set_expiry(&self, at: Time) {
+    pub(crate) fn set_expiry(&self, expires_at: Time) {
         if !self.is_closing() {
-            self.outbox.socket().set_expiry(at);
+            self.outbox.socket().set_expiry(expires_at);
         }
     }
 
--- a/crates/node/tests/races_shutdown.rs
+++ b/crates/node/tests/races_shutdown.rs
@@ -55,7 +55,7 @@
     gate.open();
     assert_eq!(idle.next_message()["rc"], 42);
     assert_eq!(new.next_message()["rc"], 42);
-    ended.recv_timeout(TEST_TIMEOUT).expect("it ends");
+    ended.recv_timeout(TEST_TIMEOUT).expect("the node ends");
 }
 
 #[test]
@@ -85,7 +85,7 @@
     );
     assert_eq!(waiting.next_message()["rc"], 16);
     let done = Instant::now();
-    ended.recv_timeout(TEST_TIMEOUT).expect("it ends");
+    ended.recv_timeout(TEST_TIMEOUT).expect("the node ends");
     assert!(
         done.elapsed() < Duration::from_secs(1),
         "the node ended {:?} after the last session",
