--- a/crates/net/src/acceptor.rs
+++ b/crates/net/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! Accepting connections while there is capacity, and the orderly end of that.
-use crate::listener::ACCEPT_RETRY;
+//! Accepting connections only while there is capacity for them, and stopping without losing established connections.
+use crate::listener::ACCEPT_RETRY_PAUSE;
 use crate::yield_budget::YieldBudget;
 use crate::{sleep, spawn, Socket, Stack};
 use may::io::{WaitIo, WaitIoWaker};
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause before capacity is checked again.
-const CAPACITY_POLL: Duration = Duration::from_millis(1);
+/// How often capacity is checked again while there is none.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Ends the accepting of connections in order.
+/// Stops the accept loop that [`accept_while_capacity`] started.
 pub struct AcceptHandle {
     state: Arc<AcceptState>,
     waker: WaitIoWaker,
@@ -26,40 +26,46 @@
 }
 
 impl AcceptHandle {
-    /// Closes the listener once all connections are accepted that the kernel has established. A second call has no effect.
+    /// Makes the accept loop close the listener once it has accepted every connection that the kernel has established.
+    /// Does not wait for that. A second call has no effect.
     ///
-    /// Why: the peers of those that wait in the kernel may have sent a request, which a close would reset unread.
+    /// The listener is not closed at once because the kernel would reset the connections in its accept queue, although
+    /// their peers may already have sent a request.
     pub fn stop(&self) {
         if !self.state.is_stopping.swap(true, Ordering::AcqRel) {
             self.waker.wakeup();
         }
     }
 
-    /// Whether the listener is closed and no further connection will be handled.
+    /// Whether the listener is closed and no further connection will be accepted.
     #[must_use]
     pub fn has_stopped(&self) -> bool {
         self.state.has_stopped.load(Ordering::Acquire)
     }
 }
 
-/// Accepts connections, each handled in a coroutine of its own, while `reserve` returns a permit, which is requested
-/// before each connection; connections without one wait in the kernel. A permit is held from before the connection is
-/// accepted until `each` drops it.
+/// Starts a coroutine that accepts connections and handles each with `handle_connection` in a coroutine of its own.
+///
+/// `reserve` is called before each accept and returns a permit, or `None` while there is no capacity; connections wait in
+/// the kernel meanwhile. The permit is passed on with the accepted connection, and counts until `handle_connection` drops
+/// it.
 pub fn accept_while_capacity<P: Send + 'static>(
     listener: TcpListener,
     reserve: impl Fn() -> Option<P> + Send + 'static,
-    each: impl Fn(Socket, P) + Send + Sync + 'static,
+    handle_connection: impl Fn(Socket, P) + Send + Sync + 'static,
 ) -> AcceptHandle {
     let state = Arc::new(AcceptState::default());
     let handle = AcceptHandle {
         state: state.clone(),
         waker: listener.waker(),
     };
-    let each = Arc::new(each);
+    let handle_connection = Arc::new(handle_connection);
     spawn(Stack::Usual, move || {
         accept_until_stopped(&listener, &state, reserve, |stream, permit| {
-            let each = each.clone();
-            spawn(Stack::Usual, move || each(Socket::adopt(stream), permit));
+            let handle_connection = handle_connection.clone();
+            spawn(Stack::Usual, move || {
+                handle_connection(Socket::adopt(stream), permit);
+            });
         });
         drop(listener);
         state.has_stopped.store(true, Ordering::Release);
@@ -71,27 +77,27 @@
     listener: &TcpListener,
     state: &AcceptState,
     reserve: impl Fn() -> Option<P>,
-    each: impl Fn(TcpStream, P),
+    on_accept: impl Fn(TcpStream, P),
 ) {
     let mut budget = YieldBudget::default();
     loop {
         let permit = wait_for_permit(&reserve);
         match try_accept(listener) {
             Ok(Some(stream)) => {
-                each(stream, permit);
-                budget.spend(); // While connections wait in the kernel, accept never waits.
+                on_accept(stream, permit);
+                budget.spend(); // Accept never waits while connections are queued in the kernel.
             }
             Ok(None) if state.is_stopping.load(Ordering::Acquire) => return,
             Ok(None) => {
                 drop(permit);
                 listener.wait_io();
             }
-            Err(_) => sleep(ACCEPT_RETRY),
+            Err(_) => sleep(ACCEPT_RETRY_PAUSE),
         }
     }
 }
 
-/// Accepts a connection that is established; `None` if there is none.
+/// Accepts a connection from the kernel's queue without waiting; `None` if the queue is empty.
 fn try_accept(listener: &TcpListener) -> io::Result<Option<TcpStream>> {
     match listener.inner().accept() {
         Ok((stream, _)) => Ok(Some(stream)),
@@ -100,11 +106,12 @@
     }
 }
 
+/// Polls `reserve` until it returns a permit.
 fn wait_for_permit<P>(reserve: impl Fn() -> Option<P>) -> P {
     loop {
         if let Some(permit) = reserve() {
             return permit;
         }
-        sleep(CAPACITY_POLL);
+        sleep(CAPACITY_POLL_INTERVAL);
     }
 }
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,9 +1,9 @@
-//! The process's only clock: Unix time as of its start, advanced monotonically.
+//! The clock of the process: Unix time at the first call, advanced by the monotonic clock from then on.
 use crankpaddle_time::Time;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The same instant on the monotonic and on the wall clock.
+/// A reading of the monotonic clock and the wall clock at the same instant.
 struct Origin {
     instant: Instant,
     unix_time: Time,
@@ -11,10 +11,10 @@
 
 static ORIGIN: OnceLock<Origin> = OnceLock::new();
 
-/// The current time.
+/// The current time, in Unix time.
 ///
-/// It never goes back, whatever happens to the host's wall clock. The endpoint list states servers' starts in Unix time,
-/// so hosts whose wall clocks differ misjudge a server's slow start by as much.
+/// It never goes back, even if the host's wall clock is set back. The endpoint list states the start times of servers in
+/// Unix time, so hosts whose wall clocks differ misjudge a server's slow start by the difference.
 #[must_use]
 pub fn now() -> Time {
     let origin = ORIGIN.get_or_init(|| {
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -1,4 +1,4 @@
-//! HTTP messages over a socket.
+//! Receiving HTTP messages and event streams from a socket.
 use crate::clock;
 use crate::Socket;
 use crankpaddle_http::body::Body;
@@ -9,42 +9,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why no message was received.
+/// Why no complete message was received.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection ended before the first byte of the message.
-    #[error("closed")]
+    #[error("the connection ended before the message")]
     Closed,
     /// The connection failed in the middle of the message.
-    #[error("broken")]
+    #[error("the connection failed in the middle of the message")]
     Broken,
     /// The message is malformed.
-    #[error("malformed: {0}")]
+    #[error("malformed message: {0}")]
     Bad(#[from] HttpError),
 }
 
-/// A body that was not received completely.
+/// Why a body was not received completely, and how much of it was.
 #[derive(Debug, thiserror::Error)]
 #[error("{source} (after {received} bytes of the body)")]
 pub struct DrainError {
-    /// Bytes of the body that were received.
+    /// Bytes of the body that were received before the error, without chunk framing.
     pub received: u64,
-    /// Why the rest was not.
+    /// Why the rest was not received.
     pub source: ExchangeError,
 }
 
-/// A connection that carries HTTP, and what was read beyond the last message.
+/// A connection that carries HTTP messages, with the bytes that were read beyond the last message.
 pub struct HttpExchange {
-    /// The connection.
+    /// The connection; messages are sent by writing to it directly.
     pub socket: Arc<Socket>,
+    /// Received bytes that belong to no message returned so far.
     buffer: Vec<u8>,
 }
 
-/// Bytes requested from the kernel at once.
-const READ_SIZE: usize = 2048;
+/// Most bytes of one read from the socket.
+const READ_BYTES: usize = 2048;
 
 impl HttpExchange {
-    /// A connection on which nothing was read.
+    /// Wraps a connection from which nothing was read yet.
     #[must_use]
     pub fn new(socket: Arc<Socket>) -> HttpExchange {
         HttpExchange {
@@ -53,13 +54,13 @@
         }
     }
 
-    /// What was read beyond the last message.
+    /// The bytes that were read beyond the last message, for instance the first ones after a protocol switch.
     #[must_use]
     pub fn into_rest(self) -> Vec<u8> {
         self.buffer
     }
 
-    /// Whether nothing was read beyond the last message.
+    /// Whether nothing was read beyond the last message, so that the connection can be reused.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.buffer.is_empty()
@@ -67,7 +68,7 @@
 
     /// Reads at least one byte into the buffer.
     fn fill_buffer(&mut self) -> Result<(), ExchangeError> {
-        let mut bytes = [0u8; READ_SIZE];
+        let mut bytes = [0u8; READ_BYTES];
         match self.socket.read(&mut bytes) {
             Ok(0) | Err(_) if self.buffer.is_empty() => Err(ExchangeError::Closed),
             Ok(0) | Err(_) => Err(ExchangeError::Broken),
@@ -78,10 +79,11 @@
         }
     }
 
-    /// The next request's head. `timeout` bounds the time from its first byte; `None`: unbounded.
+    /// Receives the head of the next request. `timeout` starts with its first byte and sets the expiry of the socket; `None`
+    /// means no limit.
     ///
     /// # Errors
-    /// None was received.
+    /// No complete head was received, or it is malformed.
     pub fn request_head(&mut self, timeout: Option<Duration>) -> Result<Request, ExchangeError> {
         loop {
             if let Some((request, length)) = Request::parse(&self.buffer)? {
@@ -96,10 +98,11 @@
         }
     }
 
-    /// A complete request with a body of at most `max_body` bytes; `timeout` as in [`HttpExchange::request_head`].
+    /// Receives a complete request with a body of at most `max_body` bytes. `timeout` is as in
+    /// [`HttpExchange::request_head`]; the expiry that it sets is cleared once the request is complete.
     ///
     /// # Errors
-    /// None was received.
+    /// No complete request was received, or it is malformed or too large.
     pub fn request(
         &mut self,
         max_body: u64,
@@ -114,10 +117,10 @@
         Ok((request, data))
     }
 
-    /// The next response's head; interim responses (1xx, but 101) are skipped.
+    /// Receives the head of the next response. Interim responses (1xx) are skipped, except 101, which switches protocols.
     ///
     /// # Errors
-    /// None was received.
+    /// No complete head was received, or it is malformed.
     pub fn response_head(&mut self) -> Result<Response, ExchangeError> {
         loop {
             if let Some((response, length)) = Response::parse(&self.buffer)? {
@@ -131,10 +134,10 @@
         }
     }
 
-    /// A complete response with a body of at most `max_body` bytes.
+    /// Receives a complete response with a body of at most `max_body` bytes.
     ///
     /// # Errors
-    /// None was received.
+    /// No complete response was received, or it is malformed or too large.
     pub fn response(&mut self, max_body: u64) -> Result<(Response, Vec<u8>), ExchangeError> {
         let response = self.response_head()?;
         let body = Body::new(response.framing()?, max_body)?;
@@ -158,10 +161,10 @@
         }
     }
 
-    /// Reads and discards a body; returns its length in bytes.
+    /// Reads and discards a body; returns its length in bytes, without chunk framing.
     ///
     /// # Errors
-    /// It is malformed or the connection failed, maybe after a part of the body.
+    /// The body is malformed, or the connection failed, possibly after a part of the body.
     pub fn drain_body(&mut self, framing: Framing) -> Result<u64, DrainError> {
         let mut received = 0;
         match self.discard_body(framing, &mut received) {
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Reads and discards a body; `received` counts its bytes, also up to an error.
+    /// Reads and discards a body, and adds its bytes to `received`, also those before an error.
     fn discard_body(&mut self, framing: Framing, received: &mut u64) -> Result<(), ExchangeError> {
         let mut body = Body::new(framing, u64::MAX)?;
         let mut data = Vec::new();
@@ -190,40 +193,43 @@
         }
     }
 
-    /// Continues as a stream of events after its head; `silence` is the longest time without a byte.
+    /// Reads the body of the response with this `head` as a stream of server-sent events. The socket expires after
+    /// `max_silence` without a byte.
     ///
     /// # Errors
-    /// The framing of its body is unknown.
-    pub fn events(self, head: &Response, silence: Duration) -> Result<Events, ExchangeError> {
+    /// The head states contradictory or unsupported framing of the body.
+    pub fn events(self, head: &Response, max_silence: Duration) -> Result<Events, ExchangeError> {
         let body = Body::new(head.framing()?, u64::MAX)?;
         Ok(Events {
             exchange: self,
             body,
             reader: Reader::default(),
-            ready: Vec::new().into_iter(),
-            silence,
+            decoded: Vec::new().into_iter(),
+            max_silence,
         })
     }
 }
 
-/// A stream of server-sent events.
+/// A stream of server-sent events in the body of a response.
 pub struct Events {
     exchange: HttpExchange,
     body: Body,
     reader: Reader,
-    ready: std::vec::IntoIter<Event>,
-    silence: Duration,
+    /// Events that were received and not returned yet.
+    decoded: std::vec::IntoIter<Event>,
+    /// Longest time without a received byte.
+    max_silence: Duration,
 }
 
 impl Events {
-    /// Waits for the next event. Each read, also of a heartbeat, restarts the time after which a silent stream expires.
+    /// Waits for the next event. Each read, also of a heartbeat, restarts the time after which the silent socket expires.
     ///
     /// # Errors
-    /// The stream ended, failed or is malformed.
+    /// The stream ended, the connection failed, or an event is malformed.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Event, ExchangeError> {
         loop {
-            if let Some(event) = self.ready.next() {
+            if let Some(event) = self.decoded.next() {
                 return Ok(event);
             }
             let mut data = Vec::new();
@@ -231,12 +237,13 @@
             let taken = self.body.feed(&self.exchange.buffer, &mut data)?;
             self.exchange.buffer.drain(..taken);
             self.reader.feed(&data, &mut events)?;
-            self.ready = events.into_iter();
-            if self.ready.len() == 0 {
+            self.decoded = events.into_iter();
+            if self.decoded.len() == 0 {
                 if self.body.is_complete() {
                     return Err(ExchangeError::Closed);
                 }
-                self.exchange.socket.set_expiry(clock::now() + self.silence);
+                let expiry = clock::now() + self.max_silence;
+                self.exchange.socket.set_expiry(expiry);
                 self.exchange.fill_buffer()?;
             }
         }
--- a/crates/net/src/idle_sweep.rs
+++ b/crates/net/src/idle_sweep.rs
@@ -1,15 +1,15 @@
-//! Closes sockets that have expired, without a timer for each.
+//! Closes expired sockets in a periodic sweep, so that no socket needs a timer of its own.
 use crate::{clock, sleep, spawn, Socket, Stack};
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 use std::time::Duration;
 
-/// Watches sockets; stops when it is dropped.
+/// Closes watched sockets once they have expired ([`Socket::expire`]). The sweep stops when this is dropped.
 pub struct IdleSweeper {
     sockets: Arc<Mutex<Vec<Weak<Socket>>>>,
 }
 
 impl IdleSweeper {
-    /// Starts a sweep every `interval`; a socket is closed late by as much.
+    /// Starts a coroutine that checks all watched sockets every `interval`, so a socket is closed at most that much late.
     #[must_use]
     pub fn start(interval: Duration) -> IdleSweeper {
         let sockets: Arc<Mutex<Vec<Weak<Socket>>>> = Arc::default();
@@ -24,7 +24,7 @@
         IdleSweeper { sockets }
     }
 
-    /// Watches a socket from now on.
+    /// Adds a socket to the sweep; it is forgotten once it is closed or dropped.
     pub fn watch(&self, socket: &Arc<Socket>) {
         self.sockets
             .lock()
@@ -33,10 +33,10 @@
     }
 }
 
-/// Closes expired sockets and forgets closed ones.
+/// Closes expired sockets and removes closed and dropped ones from the list.
 fn sweep(sockets: &Mutex<Vec<Weak<Socket>>>) {
     let now = clock::now();
-    // The lock is held over calls that do not wait.
+    // Holding the guard is safe: no call below suspends the coroutine.
     let mut sockets = sockets.lock().unwrap_or_else(PoisonError::into_inner);
     sockets.retain(|socket| match socket.upgrade() {
         Some(socket) => {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,8 @@
-//! Sockets on may's coroutines, shared by the front and the testbed's servers.
+//! Sockets, timers and HTTP exchanges on the coroutines of the `may` library, shared by fronts, front nodes and the
+//! servers of the testbed.
 //!
-//! A coroutine moves between threads whenever it waits: nothing here keeps a thread-local or a lock's guard over a
-//! wait. [`Socket`] can be read by one coroutine while any other writes to it without waiting, wakes it or closes it.
+//! A coroutine may continue on another thread after each wait, so nothing here holds a thread-local or a lock guard
+//! across a wait. One coroutine reads a [`Socket`]; any other may write to it without waiting, or close it.
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 mod acceptor;
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -9,53 +9,55 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections that may wait in the kernel to be accepted.
+/// Most established connections that may wait in the kernel to be accepted.
 const BACKLOG: i32 = 1024;
 /// Pause after a failed accept.
 ///
-/// Why: out of file descriptors, accept fails at once and for long; a loop without a pause would take the core that
-/// could close some.
-pub(crate) const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// While the process is out of file descriptors, every accept fails immediately. A loop without a pause would use up the
+/// core on which other coroutines could close connections.
+pub(crate) const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Listens on an address.
+/// Opens a listening socket on an address.
 ///
-/// Why not may's own bind (0.3.51): it sets SO_REUSEPORT, so that a second front on the same address would start
-/// without an error and take half of the players.
+/// `TcpListener::bind` of may (0.3.51) is not used because it sets SO_REUSEPORT: a second front on the same address would
+/// start without an error and receive half of the players.
 ///
 /// # Errors
-/// The address is in use or not this machine's.
+/// The address is already in use, or does not belong to this machine.
 #[allow(unsafe_code)]
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
-    socket.set_reuse_address(true)?; // A restart need not wait until the kernel forgets old connections.
+    socket.set_reuse_address(true)?; // Allows a restart while old connections are in TIME_WAIT.
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
-    // SAFETY: the descriptor was just made, and `into_raw_fd` gives up its ownership: it has no other owner. may has no safe
-    // way to adopt a listener.
+    // SAFETY: the descriptor was just created, and `into_raw_fd` gives up its ownership, so it has no other owner. may has
+    // no safe way to take over a listener.
     Ok(unsafe { TcpListener::from_raw_fd(socket.into_raw_fd()) })
 }
 
-/// Accepts connections, each handled in a coroutine of its own. To end it, set `until`, then connect once.
+/// Starts a coroutine that accepts connections and handles each with `handle_connection` in a coroutine of its own.
+///
+/// To stop it, set `should_stop`, then connect once: the flag is only checked after each accept.
 pub fn accept_each(
     listener: TcpListener,
-    until: Arc<AtomicBool>,
-    each: impl Fn(Socket) + Send + Sync + 'static,
+    should_stop: Arc<AtomicBool>,
+    handle_connection: impl Fn(Socket) + Send + Sync + 'static,
 ) {
-    let each = Arc::new(each);
+    let handle_connection = Arc::new(handle_connection);
     let mut budget = YieldBudget::default();
     spawn(Stack::Usual, move || loop {
         let accepted = listener.accept();
-        if until.load(Ordering::Acquire) {
+        if should_stop.load(Ordering::Acquire) {
             return;
         }
         match accepted {
             Ok((stream, _)) => {
-                let each = each.clone();
-                spawn(Stack::Usual, move || each(Socket::new(stream)));
-                budget.spend(); // While connections wait in the kernel, accept never waits.
+                let handle_connection = handle_connection.clone();
+                spawn(Stack::Usual, move || handle_connection(Socket::new(stream)));
+                budget.spend(); // Accept never waits while connections are queued in the kernel.
             }
-            Err(_) => sleep(ACCEPT_RETRY),
+            Err(_) => sleep(ACCEPT_RETRY_PAUSE),
         }
     });
 }
--- a/crates/net/src/runtime.rs
+++ b/crates/net/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Starting may and its coroutines; waits and timers.
+//! Configuration of the coroutine library `may`, starting coroutines, and waits with a deadline.
 use crate::clock;
 use crankpaddle_time::Time;
 use may::coroutine;
@@ -7,32 +7,33 @@
 use std::sync::mpsc::{RecvTimeoutError, TryRecvError};
 use std::time::Duration;
 
-/// The size of a coroutine's stack. Only touched pages take memory; the page below the last is a guard, so that an
-/// overflow ends the process instead of corrupting another coroutine's data.
+/// The size of a coroutine's stack. Only pages that are touched take memory. The page below the stack is a guard page, so
+/// that an overflow ends the process instead of corrupting another coroutine's data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stack {
-    /// For connections and attempts; reused, so that starting one is cheap.
+    /// For connections and attempts. may reuses these stacks, so starting such a coroutine is cheap.
     Usual,
-    /// For the one coroutine that runs the decisions.
+    /// For the one coroutine of a process that runs the decision core.
     Large,
 }
 
-/// Words (8 bytes) of a usual stack. Highest use in a debug build by the tests over sockets: 3,329 words (26 KiB). An odd
-/// size makes may print each coroutine's use.
+/// Size of a usual stack in words of 8 bytes. The highest use in the socket tests, in a debug build, was 3,329 words
+/// (26 KiB). An odd size makes may print the stack use of each coroutine.
 const USUAL_STACK_WORDS: usize = 0x2000;
-/// Words (8 bytes) of a large stack. Highest use as above: 4,843 words (38 KiB).
+/// Size of a large stack in words of 8 bytes. The highest use in the same tests was 4,843 words (38 KiB).
 const LARGE_STACK_WORDS: usize = 0x4_0000;
-/// The shortest wait: may (0.3.51) truncates times to whole milliseconds, and takes zero for no bound.
+/// The shortest wait. may (0.3.51) truncates timeouts to whole milliseconds and takes zero for no timeout.
 pub(crate) const MIN_WAIT: Duration = Duration::from_millis(1);
 
 static ONE_WORKER: AtomicBool = AtomicBool::new(false);
 
-/// Whether all coroutines run on one thread.
+/// Whether [`start`] configured a single worker thread, on which all coroutines run.
 pub(crate) fn has_one_worker() -> bool {
     ONE_WORKER.load(Ordering::Relaxed)
 }
 
-/// Configures may; without effect once it runs. `workers`: number of threads, `None` for one a core.
+/// Configures may; call it before the first coroutine starts, as it has no effect later. `workers` is the number of worker
+/// threads; `None` means one per core.
 pub fn start(workers: Option<usize>) {
     let config = may::config();
     config.set_stack_size(USUAL_STACK_WORDS);
@@ -43,30 +44,30 @@
     }
 }
 
-/// Starts a coroutine. A panic in it ends only it.
+/// Starts a coroutine that runs `run`. A panic in it ends only this coroutine.
 #[allow(unsafe_code)]
 pub fn spawn<F: FnOnce() + Send + 'static>(stack: Stack, run: F) {
     let builder = match stack {
         Stack::Usual => coroutine::Builder::new(),
         Stack::Large => coroutine::Builder::new().stack_size(LARGE_STACK_WORDS),
     };
-    // SAFETY: may requires that a coroutine uses no thread-local over a wait and stays within its stack. This workspace
-    // keeps none over a wait (`tracing` uses one, within a call that never waits), and a guard page stands below.
-    // An error here means that no stack could be mapped; the work is then dropped like that of a panic.
+    // SAFETY: may requires that a coroutine uses no thread-local across a wait and stays within its stack. This workspace
+    // uses none across a wait (`tracing` uses one, but within a call that never waits), and each stack has a guard page.
+    // An error means that no stack could be mapped; the coroutine is then dropped, as if it had panicked.
     let _ = unsafe { builder.spawn(run) };
 }
 
-/// Receives the next message, waiting until `deadline`, a time of [`clock::now`]. A queued message is returned even if the
-/// deadline has passed.
+/// Receives the next message, waiting until `deadline`, which is measured on [`clock::now`]. A queued message is returned
+/// even if the deadline has passed.
 ///
-/// Why it waits in steps: may's `recv_timeout` (0.3.51) truncates its time to whole milliseconds and, waking early by
-/// the truncated part, waits for all of it again: answers due after 1.4 s came after 1.64 s. A time under a millisecond
-/// becomes none, and the wait has no end. Waiting for half of the remaining time, and never for less than a
-/// millisecond, even a wait that is doubled ends in time. The cost: some ten wakes for a long wait instead of one, and
-/// up to 2 ms of delay.
+/// It waits in several steps because of two faults in `recv_timeout` of may (0.3.51). It truncates the timeout to whole
+/// milliseconds, wakes early by the truncated part and then waits for the whole timeout again: answers due after 1.4 s came
+/// after 1.64 s. It also truncates a timeout below one millisecond to zero, which means no timeout, so the wait never
+/// ends. Each step here lasts at most half of the remaining time, so that even a doubled step ends before the deadline,
+/// and at least one millisecond. The cost is some ten wakes for a long wait instead of one, and up to 2 ms of delay.
 ///
 /// # Errors
-/// The deadline has passed, or there is no sender any more.
+/// The deadline has passed, or all senders are gone.
 pub fn recv_until<T>(receiver: &Receiver<T>, deadline: Time) -> Result<T, RecvTimeoutError> {
     loop {
         let remaining = deadline.duration_since(clock::now());
@@ -83,7 +84,7 @@
     }
 }
 
-/// Passes queued messages to `handle`, at most `max_messages`; returns how many there were.
+/// Passes up to `max_messages` queued messages to `handle` without waiting; returns how many were handled.
 pub fn drain_queue<T>(
     receiver: &Receiver<T>,
     max_messages: usize,
@@ -100,41 +101,43 @@
     count
 }
 
-/// A timer late by more than this shows that the whole process was stalled.
-const STALL: Duration = Duration::from_millis(250);
-/// How long after a stall the sockets are read before anything falls due.
-const CATCH_UP: Duration = Duration::from_millis(20);
+/// A timer that fires late by more than this shows that the whole process was stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
+/// How long other coroutines may read their sockets after a stall before overdue timers are handled.
+const CATCH_UP_PAUSE: Duration = Duration::from_millis(20);
 
-/// Drains what arrived while the process was stalled, if a timer due at `due` shows that it was; returns whether it was.
+/// Checks whether the process was stalled, which is so if a timer that was due at `due` is only handled now. After a stall
+/// it handles everything that has arrived meanwhile. Returns whether there was a stall.
 ///
-/// Why: after a stall the timers of all requests are due, while answers that came in time are still unread in the
-/// sockets. They are read first.
+/// After a stall the timers of all requests are overdue, while answers that arrived in time are still unread in the
+/// sockets. They have to be handled before the timers.
 ///
 /// `drain_more` handles queued messages and returns whether there may be more.
 pub fn drain_after_stall(due: Time, mut drain_more: impl FnMut() -> bool) -> bool {
-    let was_stalled = clock::now() > due + STALL;
+    let was_stalled = clock::now() > due + STALL_THRESHOLD;
     if was_stalled {
-        sleep(CATCH_UP);
+        sleep(CATCH_UP_PAUSE);
         while drain_more() {}
     }
     was_stalled
 }
 
-/// The time to set a timer of may to, so that at most `time` passes, or the shortest wait: the largest power of two of a
-/// millisecond in it.
+/// The duration of the next timer of a wait that may last `time` at most: the largest power of two in milliseconds that fits
+/// into `time`, and at least one millisecond.
 ///
-/// Why: may (0.3.51) keeps a list of timers for each distinct time, and from 1,024 of them on frees a list that has run
-/// empty while handles of its last timer are still held: all timers of the process then stop, or it crashes (SIGSEGV).
-/// Observed in a testbed of processes whose waits took all times up to some hundred milliseconds; a front that waits
-/// for answers until they are due would have met it eventually, and all fronts of a fleet alike. So only some forty
-/// distinct times are ever used; nothing but [`recv_until`] and [`sleep`] sets timers. The cost: a long wait wakes some
-/// more times.
+/// may (0.3.51) keeps a list of timers for each distinct duration. From 1,024 lists on it frees a list that has become
+/// empty while handles of its last timer are still held; then all timers of the process stop, or it crashes (SIGSEGV).
+/// This was observed in a testbed of processes whose waits had arbitrary durations of up to some hundred milliseconds. A
+/// front, whose waits end when answers are due, would have reached that number of durations eventually, and so would
+/// all fronts of a fleet. Powers of two limit the distinct durations to some forty. Therefore only [`recv_until`] and
+/// [`sleep`] may set timers. The cost is that a long wait wakes some more times.
 fn timer_step(time: Duration) -> Duration {
     let milliseconds = (time.as_millis() as u64).max(1);
     Duration::from_millis(1 << milliseconds.ilog2())
 }
 
-/// Waits without blocking a thread, some milliseconds longer than `time` at most.
+/// Suspends the coroutine for `time` without blocking its thread. The wait lasts at least a millisecond, and at most some
+/// milliseconds longer than `time`.
 pub fn sleep(time: Duration) {
     let deadline = clock::now() + time.max(MIN_WAIT);
     loop {
--- a/crates/net/src/runtime/tests.rs
+++ b/crates/net/src/runtime/tests.rs
@@ -2,84 +2,88 @@
 use may::sync::mpsc::channel;
 
 #[test]
-fn timers_use_few_distinct_times_and_never_exceed_the_requested_one() {
+fn timers_use_few_distinct_durations_and_never_exceed_the_requested_one() {
     let times = (0..200_000u64).map(|n| Duration::from_micros(n * n / 7 + n));
     let steps: Vec<(Duration, Duration)> = times.map(|time| (time, timer_step(time))).collect();
     assert!(steps
         .iter()
         .all(|(time, step)| *step <= (*time).max(MIN_WAIT) && *step * 2 > *time));
-    let different: std::collections::BTreeSet<Duration> =
+    let distinct: std::collections::BTreeSet<Duration> =
         steps.iter().map(|(_, step)| *step).collect();
-    assert!((20..64).contains(&different.len()), "{}", different.len());
+    assert!((20..64).contains(&distinct.len()), "{}", distinct.len());
     assert!(timer_step(Duration::MAX) >= Duration::from_secs(1 << 40));
 }
 
-/// Random times from 1 ms to about `max_ms` ms, hardly ever the same twice.
-fn random_time(state: &mut u64, max_ms: u64) -> Duration {
+/// A pseudo-random duration from 1 ms to about `max_ms` ms, hardly ever the same twice.
+fn random_duration(state: &mut u64, max_ms: u64) -> Duration {
     *state = state
         .wrapping_mul(6_364_136_223_846_793_005)
         .wrapping_add(1_442_695_040_888_963_407);
     Duration::from_nanos(1_000_000 + (*state >> 20) % (max_ms * 1_000_000))
 }
 
-/// Thousands of distinct times; without `timer_step` all timers stop after some 5,000 waits.
+/// Guards against a fault of may (0.3.51): without `timer_step`, waits with thousands of distinct durations stop all timers of
+/// the process after some 5,000 waits.
 #[test]
-fn timers_keep_working_after_thousands_of_distinct_times() {
+fn timers_keep_working_after_waits_of_thousands_of_distinct_durations() {
     const PAIRS: u64 = 64;
     const WAITS: usize = 200;
-    let (done, all) = std::sync::mpsc::channel();
+    let (done, finished_pairs) = std::sync::mpsc::channel();
     for i in 0..PAIRS {
         let (sender, receiver) = channel::<()>();
         let mut state = i;
         spawn(Stack::Usual, move || {
             for _ in 0..WAITS {
-                sleep(random_time(&mut state, 30));
-                let _ = sender.send(()); // The receiver lives as long.
+                sleep(random_duration(&mut state, 30));
+                let _ = sender.send(()); // Cannot fail: the receiver waits for all messages.
             }
         });
         let (done, mut state) = (done.clone(), i + 1000);
         spawn(Stack::Usual, move || {
             let mut received = 0;
             while received < WAITS {
-                let until = clock::now() + random_time(&mut state, 8000);
+                let until = clock::now() + random_duration(&mut state, 8000);
                 received += usize::from(recv_until(&receiver, until).is_ok());
             }
             let _ = done.send(()); // The test may have failed meanwhile.
         });
     }
-    // On a thread: a wait of may would stop with the rest.
+    // Waits on a plain thread, because a wait of may would be stopped by the fault as well.
     let ended = (0..PAIRS)
-        .take_while(|_| all.recv_timeout(Duration::from_secs(30)).is_ok())
+        .take_while(|_| finished_pairs.recv_timeout(Duration::from_secs(30)).is_ok())
         .count();
     assert_eq!(ended as u64, PAIRS);
 }
 
 /// Runs a function in a coroutine and returns its result to the test's thread.
-fn run<T: Send + 'static>(f: impl FnOnce() -> T + Send + 'static) -> T {
+fn run_in_coroutine<T: Send + 'static>(run: impl FnOnce() -> T + Send + 'static) -> T {
     start(Some(2));
     let (done, result) = std::sync::mpsc::channel();
-    spawn(Stack::Usual, move || drop(done.send(f())));
+    spawn(Stack::Usual, move || drop(done.send(run())));
     result
         .recv_timeout(Duration::from_secs(60))
-        .expect("the coroutine ends")
+        .expect("the coroutine should end within a minute")
 }
 
 #[test]
 fn waits_end_at_their_deadline_or_with_a_message() {
-    let late = run(|| {
+    let median_delay = run_in_coroutine(|| {
         let (_sender, receiver) = channel::<u8>();
         let wait = |_| {
             let until = clock::now() + Duration::from_millis(30);
             assert_eq!(recv_until(&receiver, until), Err(RecvTimeoutError::Timeout));
             clock::now().duration_since(until)
         };
-        let mut late: Vec<Duration> = (0..20).map(wait).collect();
-        late.sort_unstable();
-        late[10]
+        let mut delays: Vec<Duration> = (0..20).map(wait).collect();
+        delays.sort_unstable();
+        delays[10]
     });
-    // A doubled wait is late by as much as it lasts; the median shows whether that is the rule.
-    assert!(late < Duration::from_millis(25), "{late:?} late");
-    let received = run(|| {
+    // A wait that may doubles ends late by its whole duration. The median tells that apart from single slow waits.
+    assert!(
+        median_delay < Duration::from_millis(25),
+        "the median wait ended {median_delay:?} late"
+    );
+    let received = run_in_coroutine(|| {
         let (sender, receiver) = channel();
         sender.send(7).unwrap();
         let first = recv_until(&receiver, Time::ZERO);
@@ -92,5 +96,5 @@
 #[test]
 fn a_panic_in_one_coroutine_ends_only_it() {
     spawn(Stack::Usual, || panic!("on purpose, in a test"));
-    assert_eq!(run(|| 5), 5);
+    assert_eq!(run_in_coroutine(|| 5), 5);
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,4 +1,4 @@
-//! A connection that one coroutine reads and any other may write to, wake or close.
+//! A TCP connection that one coroutine reads, and that any other may write to without waiting, or close.
 mod close_reason;
 mod connect;
 mod deferred_free;
@@ -17,27 +17,29 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// Requests the bytes of a TCP connection that the kernel has not sent yet (Linux, `linux/sockios.h`).
+/// The ioctl request for the number of bytes that the kernel has not sent yet (Linux, `linux/sockios.h`).
 const SIOCOUTQNSD: libc::Ioctl = 0x894B;
-/// Requests the bytes of a TCP connection that its peer has not acknowledged yet (Linux, SIOCOUTQ in `linux/sockios.h`).
+/// The ioctl request for the number of bytes that the peer has not acknowledged yet (Linux, `linux/sockios.h`).
 const SIOCOUTQ: libc::Ioctl = 0x5411;
-/// Bytes read at once while the end of the connection is awaited; they are discarded.
-const FINISH_READ_SIZE: usize = 512;
+/// Most bytes of one read while [`Socket::finish`] discards what the peer still sends.
+const DISCARD_READ_BYTES: usize = 512;
 
-/// The peer's state as far as the kernel knows it.
+/// The state of the receiving side of a connection, as far as the kernel knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peer {
-    /// Connected, nothing unread.
+    /// The connection is established, and nothing is unread.
     Quiet,
-    /// It has sent bytes that were not read yet; whatever else it did comes after them.
+    /// The peer has sent bytes that were not read yet. Whether it has closed the connection since then is not known.
     Unread,
     /// The connection was closed or reset, by either end.
     Ended,
 }
 
-/// A TCP connection.
+/// A TCP connection with an expiry time and the reason for which this side closed it.
 pub struct Socket {
-    stream: ManuallyDrop<Box<TcpStream>>, // Taken out once, on drop.
+    /// Taken out once, in `drop`, and freed after a delay.
+    stream: ManuallyDrop<Box<TcpStream>>,
+    /// [`Time::MAX`] if the connection does not expire.
     expires_at: AtomicTime,
     close_reason: OnceLock<CloseReason>,
 }
@@ -53,10 +55,10 @@
 }
 
 impl Socket {
-    /// Takes a stream over. Small messages are sent without delay.
+    /// Takes over a stream, and disables Nagle's algorithm, so that small messages are sent without delay.
     #[must_use]
     pub fn new(stream: TcpStream) -> Socket {
-        let _ = stream.set_nodelay(true); // Without it, it is only slower.
+        let _ = stream.set_nodelay(true); // If this fails, small messages are only slower.
         Socket {
             stream: ManuallyDrop::new(Box::new(stream)),
             expires_at: AtomicTime::new(Time::MAX),
@@ -67,12 +69,13 @@
     /// The peer's address.
     ///
     /// # Errors
-    /// The socket is not connected any more.
+    /// The socket is no longer connected.
     pub fn peer(&self) -> io::Result<SocketAddr> {
         self.stream.peer_addr()
     }
 
-    /// Reads, waiting for the first byte; 0 at the end. Only one coroutine may wait on a socket.
+    /// Reads into `buffer`, waiting until there is at least one byte; returns how many were read, 0 at the end of the stream.
+    /// Only one coroutine may wait on a socket.
     ///
     /// # Errors
     /// The connection failed.
@@ -85,7 +88,8 @@
         }
     }
 
-    /// Reads what the kernel holds; `None` where that is nothing.
+    /// Reads into `buffer` without waiting; returns how many bytes were read, 0 at the end of the stream, and `None` if there
+    /// is nothing to read yet.
     ///
     /// # Errors
     /// The connection failed.
@@ -93,7 +97,7 @@
         retry_interrupted(|| self.stream.inner().read(buffer))
     }
 
-    /// Writes what the kernel accepts without waiting; returns how many bytes.
+    /// Writes without waiting; returns how many bytes the kernel accepted, which may be 0.
     ///
     /// # Errors
     /// The connection failed.
@@ -101,10 +105,10 @@
         Ok(retry_interrupted(|| self.stream.inner().write(bytes))?.unwrap_or(0))
     }
 
-    /// Writes all bytes, waiting as needed. Only for the coroutine that waits on this socket.
+    /// Writes all bytes, waiting as needed. Only the coroutine that waits on this socket may call this.
     ///
     /// # Errors
-    /// The connection failed, maybe after some of the bytes.
+    /// The connection failed, possibly after some of the bytes.
     pub fn write_all(&self, bytes: &[u8]) -> Result<(), WriteError> {
         let mut written = 0;
         while written < bytes.len() {
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Waits until the socket can be read or written, is closed, or was woken.
+    /// Waits until the socket becomes readable or writable, or [`Socket::close`] wakes it.
     pub fn wait(&self) {
         self.stream.wait_io();
     }
@@ -139,26 +143,28 @@
         self.stream.waker().wakeup();
     }
 
-    /// Closes the connection in both directions; its reader finds the end.
+    /// Closes the connection in both directions and wakes its reader, which finds the end of the stream. Only the first reason
+    /// is kept.
     pub fn close(&self, reason: CloseReason) {
-        let _ = self.close_reason.set(reason); // The first reason counts.
-        let _ = self.stream.shutdown(Shutdown::Both); // It may be closed already.
+        let _ = self.close_reason.set(reason); // Fails if there is a reason already.
+        let _ = self.stream.shutdown(Shutdown::Both); // Fails if it is closed already.
         self.wake();
     }
 
-    /// Ends this side in order: the peer gets all that was written, and then the end. What it sends can still be read.
+    /// Shuts down this side for writing: the peer receives everything that was written, and then the end of the stream. What
+    /// the peer sends can still be read.
     pub fn finish_writing(&self) {
-        let _ = self.stream.shutdown(Shutdown::Write); // It may be closed already.
+        let _ = self.stream.shutdown(Shutdown::Write); // Fails if it is closed already.
     }
 
-    /// Ends this side, reads what the peer still sends, and closes when the peer has ended too or after
-    /// `timeout`.
+    /// Shuts down this side for writing, discards what the peer still sends, and closes the connection once the peer has
+    /// closed its side too, or `timeout` has passed.
     ///
-    /// Why: if it is closed with bytes unread, the kernel resets the connection and the peer loses what was sent last.
+    /// If a connection is closed while bytes are unread, the kernel resets it, and the peer may lose what was sent last.
     pub fn finish(&self, timeout: Duration) {
         self.finish_writing();
         self.set_expiry(clock::now() + timeout);
-        let mut discarded = [0u8; FINISH_READ_SIZE];
+        let mut discarded = [0u8; DISCARD_READ_BYTES];
         while matches!(self.read(&mut discarded), Ok(count) if count > 0) {}
         self.close(CloseReason::Finished);
     }
@@ -175,7 +181,7 @@
         self.close_reason.get().copied()
     }
 
-    /// Whether an idle connection can carry a request: not closed, nothing unread.
+    /// Whether an idle connection can carry another request: it is not closed and nothing is unread.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         !self.is_closed() && matches!(self.peek(), Ok(None))
@@ -192,46 +198,49 @@
         }
     }
 
-    /// Whether the kernel holds unread bytes of the peer.
+    /// Whether the peer has sent bytes that were not read yet.
     #[must_use]
     pub fn has_unread(&self) -> bool {
         self.peer_state() == Peer::Unread
     }
 
-    /// Bytes that were written and that the kernel has not sent yet; 0 where it does not report them.
+    /// The number of written bytes that the kernel has not sent yet; 0 where the kernel does not report it.
     #[must_use]
     pub fn unsent(&self) -> usize {
         self.queued_bytes(SIOCOUTQNSD).unwrap_or(0)
     }
 
-    /// Bytes that were written and that the peer's machine has not acknowledged; `None` where the kernel does not report them.
+    /// The number of written bytes that the peer's kernel has not acknowledged yet; `None` where the kernel does not report it.
     #[must_use]
-    pub fn unacknowledged(&self) -> Option<usize> {
+    pub fn unacknowledged_bytes(&self) -> Option<usize> {
         self.queued_bytes(SIOCOUTQ)
     }
 
+    /// The number of bytes in the send queue that the ioctl `request` counts; `None` if the kernel does not support it.
     #[allow(unsafe_code)]
     fn queued_bytes(&self, request: libc::Ioctl) -> Option<usize> {
         let mut bytes: libc::c_int = 0;
-        // SAFETY: the descriptor is open as long as `self` is, and the kernel writes one int.
+        // SAFETY: the descriptor is open as long as `self` exists, and the kernel writes one int.
         let status = unsafe { libc::ioctl(self.stream.as_raw_fd(), request, &mut bytes) };
         (status == 0).then(|| usize::try_from(bytes).unwrap_or(0))
     }
 
-    /// Closes the connection and discards what the kernel has not sent yet, if possible.
+    /// Closes the connection and discards what the kernel has not sent yet.
     pub fn reset(&self, reason: CloseReason) {
         let socket = socket2::SockRef::from(self.stream.inner());
-        let _ = socket.set_linger(Some(Duration::ZERO)); // If that fails, it is only closed.
+        let _ = socket.set_linger(Some(Duration::ZERO)); // If this fails, the connection is closed without discarding anything.
         self.close(reason);
     }
 
-    /// Whether a connection that is read elsewhere is still established, as far as the kernel knows.
+    /// Whether the connection is still established, as far as the kernel knows. Unlike [`Socket::is_idle`] it allows for
+    /// unread bytes, and so may be called while another coroutine reads the connection.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.peer_state() != Peer::Ended
     }
 
-    /// How many bytes can be read now, at most one; 0: the peer has ended; `None`: nothing to read.
+    /// Looks at the next byte without reading it: 1 if there is one, 0 at the end of the stream, `None` if there is nothing to
+    /// read yet.
     fn peek(&self) -> io::Result<Option<usize>> {
         let mut byte = [0u8; 1];
         retry_interrupted(|| self.stream.inner().peek(&mut byte))
@@ -244,23 +253,23 @@
 
     /// Closes the connection if it has expired and nothing is unread.
     ///
-    /// Why not with bytes unread: what the peer sent in time may lie unread for long on a busy machine (observed as
-    /// set-ups that were closed where fifty processes shared a core); the close would lose it, and reset the connection.
-    /// So the reader gets it, and checks [`Socket::is_expired`] if it is not what it waits for.
+    /// On a busy machine, bytes that the peer sent in time may stay unread for long: where fifty processes shared a core,
+    /// connections with set-ups were closed. Closing then would lose these bytes and reset the connection. So the reader
+    /// receives them, and checks [`Socket::is_expired`] if they are not what it waits for.
     pub fn expire(&self, now: Time) {
         if self.is_expired(now) && !self.is_closed() && !self.has_unread() {
             self.close(CloseReason::Expired);
         }
     }
 
-    /// Whether it has expired.
+    /// Whether the expiry time has been reached.
     #[must_use]
     pub fn is_expired(&self, now: Time) -> bool {
         now >= self.expires_at.load(Ordering::Acquire)
     }
 }
 
-/// Runs a system call again while a signal interrupts it; `None` where it would block.
+/// Repeats a system call while a signal interrupts it; `None` if the call would block.
 fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<Option<T>> {
     loop {
         match call() {
--- a/crates/net/src/socket/close_reason.rs
+++ b/crates/net/src/socket/close_reason.rs
@@ -1,28 +1,28 @@
-//! Why this side closed a connection; logged with the connection's end.
+//! Why this side closed a connection; logged when the connection ends.
 
-/// Why this side closed a connection. The first reason counts.
+/// Why this side closed a connection. If it is closed more than once, the first reason is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its reader stopped: the peer has ended it, or what was received can't be used.
+    /// The reader stopped, because the peer closed the connection or sent something that can't be used.
     ReadEnded,
-    /// Nothing was received in time.
+    /// The connection reached its expiry time, because what was waited for did not arrive in time.
     Expired,
-    /// The peer does not read: more waited for it than the bound.
+    /// The peer does not read, or reads too slowly: more bytes waited for it than the write buffer may hold.
     BufferFull,
-    /// A write failed.
+    /// A write to the connection failed.
     WriteFailed,
-    /// This side had sent its last message.
+    /// This side has sent its last message.
     Finished,
-    /// The process shuts down.
+    /// The process is shutting down.
     Shutdown,
-    /// Its descriptor was needed for another connection.
+    /// The file descriptor was needed for another connection.
     DescriptorNeeded,
-    /// The peer sent a request under the id of another one.
+    /// The peer sent a request with the id of another request.
     DuplicateId,
-    /// A request on it timed out, and nothing was received since.
+    /// A request on the connection timed out, and nothing was received since.
     Unresponsive,
-    /// The peer is gone, or another one has its address.
+    /// The peer is gone, or another peer now has its address.
     PeerReplaced,
-    /// Nothing needs it any more.
+    /// The connection is no longer needed.
     NotNeeded,
 }
--- a/crates/net/src/socket/deferred_free.rs
+++ b/crates/net/src/socket/deferred_free.rs
@@ -1,4 +1,4 @@
-//! Closed streams that are freed after a delay.
+//! Frees closed streams after a delay, because `may` still reads from them for a moment.
 use crate::{clock, runtime};
 use crankpaddle_time::Time;
 use may::net::TcpStream;
@@ -6,13 +6,13 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// How long a closed stream is held: much longer than a thread may take between handing a coroutine over and
-/// its last read from the stream.
-const DELAY: Duration = Duration::from_millis(200);
-/// Streams held at most, as each holds a file descriptor.
-const MAX_HELD: usize = 1024;
+/// How long a closed stream is kept: much longer than a thread may take between making a coroutine resumable and its last
+/// read from the stream.
+const FREE_DELAY: Duration = Duration::from_millis(200);
+/// Most closed streams that are kept, as each occupies a file descriptor.
+const MAX_CLOSED_STREAMS: usize = 1024;
 
-/// A closed stream.
+/// A closed stream that is to be freed.
 struct ClosedStream {
     closed_at: Time,
     stream: Box<TcpStream>,
@@ -20,14 +20,14 @@
 
 static CLOSED: Mutex<VecDeque<ClosedStream>> = Mutex::new(VecDeque::new());
 
-/// Frees a closed stream after a delay.
+/// Keeps a closed stream for [`FREE_DELAY`] before it is freed, and frees earlier streams whose delay has passed.
 ///
-/// Why: `wait_io` of may (0.3.51) hands the coroutine over first and then still reads from the stream
-/// (`RawIoBlock::subscribe`); a coroutine that wakes on another thread, ends and frees the stream meanwhile would leave
-/// that read to freed memory. The cost: a closed socket's descriptor is freed some 200 ms late.
+/// `wait_io` of may (0.3.51, `RawIoBlock::subscribe`) makes the coroutine resumable and then still reads from the stream.
+/// If the coroutine wakes on another thread, ends and frees the stream meanwhile, that is a read of freed memory. The cost
+/// of the delay is that the file descriptor of a closed socket is released some 200 ms late.
 ///
-/// With one worker a coroutine can't run on before the one thread is done with the wait, and descriptors may be few: then
-/// the stream is freed at once.
+/// With one worker thread the stream is freed immediately: the coroutine can't resume before that thread has finished the
+/// wait, and file descriptors may be scarce.
 pub(super) fn free_later(stream: Box<TcpStream>) {
     if runtime::has_one_worker() {
         return drop(stream);
@@ -41,15 +41,16 @@
         });
         take_due(&mut closed, now)
     };
-    // The lock is released: closing the descriptors takes time.
+    // The streams are freed after the lock is released, because closing their descriptors takes time.
     for closed in due {
         drop(closed.stream);
     }
 }
 
+/// Removes the streams whose delay has passed, and the oldest ones beyond [`MAX_CLOSED_STREAMS`].
 fn take_due(closed: &mut VecDeque<ClosedStream>, now: Time) -> Vec<ClosedStream> {
     let mut due = Vec::new();
-    while closed.len() > MAX_HELD || is_oldest_due(closed, now) {
+    while closed.len() > MAX_CLOSED_STREAMS || is_oldest_due(closed, now) {
         due.extend(closed.pop_front());
     }
     due
@@ -57,5 +58,5 @@
 
 fn is_oldest_due(closed: &VecDeque<ClosedStream>, now: Time) -> bool {
     let oldest = closed.front();
-    oldest.is_some_and(|oldest| now.duration_since(oldest.closed_at) > DELAY)
+    oldest.is_some_and(|oldest| now.duration_since(oldest.closed_at) > FREE_DELAY)
 }
