--- a/crates/node-protocol/src/config.rs
+++ b/crates/node-protocol/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that a node is started with.
+//! The configuration with which a front node is started.
 use crate::directory::{Entry, List, State};
 use crankpaddle_settings::Fleet;
 use serde::Deserialize;
@@ -7,33 +7,33 @@
 use std::num::ParseIntError;
 use thiserror::Error;
 
-/// A node's configuration.
+/// The configuration of a front node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The node's name, the same after a restart.
+    /// The node's name, which stays the same over restarts.
     pub name: String,
-    /// The address that viewers connect to.
+    /// The address on which the node accepts connections of viewers.
     pub listen: SocketAddr,
-    /// The seed of random numbers.
+    /// The seed of the node's random numbers.
     pub seed: u64,
-    /// What the machine allows.
+    /// The resources of the machine that the node may use.
     pub limits: Limits,
-    /// The directory's address.
+    /// The address of the directory.
     pub nameserver: SocketAddr,
-    /// The list of servers as it was at the start.
+    /// The list of servers with which the node starts.
     pub known: List,
-    /// The settings.
+    /// The settings of the fleet.
     pub fleet: Fleet,
 }
 
-/// What the machine allows.
+/// The resources that a node may use.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct Limits {
-    /// Cores; a fraction is a part of one.
+    /// CPU cores; may be a fraction, such as 0.5 for half a core.
     pub cores: f64,
-    /// Memory, MB.
+    /// Memory in MB.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// The number of file descriptors that may be open at the same time.
     pub sockets: usize,
 }
 
@@ -93,45 +93,49 @@
     Gone,
 }
 
-/// Why a configuration can't be read. Its text is one line.
+/// Why a configuration can't be read. The text of each error is one line.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// It is no JSON, or a field is missing or of the wrong type.
+    /// The text is not JSON, or a field is missing or of the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The seed is no number.
-    #[error("seed: not a hexadecimal number")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("seed: not a hexadecimal number of at most 64 bits")]
     Seed(#[source] ParseIntError),
-    /// The settings can't be used.
+    /// The settings are malformed or invalid.
     #[error("settings: {0}")]
     Settings(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// A class has no name or no deadline.
-    #[error("settings: a class without a name or a deadline")]
+    /// The name of a class is empty, or its deadline is 0.
+    #[error("settings: a class has no name or no deadline")]
     Class,
 }
 
-/// Why a configuration can't take the place of the one that a node runs with.
+/// Why a running node can't replace its configuration with another one.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Mismatch {
-    /// It is another node's.
-    #[error("name: it is another node's file; put this node's back and send SIGHUP again")]
+    /// The name is that of another node.
+    #[error(
+        "name: the file is that of another node; restore this node's file and send SIGHUP again"
+    )]
     Name,
-    /// It names another address to listen at.
-    #[error("listen: another address; put the one in force back, or restart the node to move it")]
+    /// The address to listen on differs.
+    #[error(
+        "listen: the address differs from the one in use; restore it, or restart the node to change it"
+    )]
     Listen,
-    /// Its settings are others.
+    /// The settings differ.
     #[error(
-        "settings: others than those in force; put these back, or restart the node to take them"
+        "settings: they differ from those in use; restore them, or restart the node to change them"
     )]
     Settings,
 }
 
 impl Config {
-    /// Checks that `next` may take this one's place while the node runs: only the directory's address may differ, and what
-    /// counts at a start alone.
+    /// Checks that `next` may replace this configuration while the node runs. The name, the address to listen on and the
+    /// settings must be the same. Of the rest, only the directory's address takes effect before a restart.
     ///
     /// # Errors
-    /// What differs that may not.
+    /// Which of the fixed fields differs.
     pub fn check_reload(&self, next: &Config) -> Result<(), Mismatch> {
         if self.name != next.name {
             return Err(Mismatch::Name);
@@ -145,10 +149,10 @@
         Ok(())
     }
 
-    /// Reads a configuration.
+    /// Parses a configuration from JSON.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The first fault that was found.
     pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         let raw: RawConfig = serde_json::from_slice(text)?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(ConfigError::Seed)?;
@@ -169,7 +173,7 @@
     }
 }
 
-/// The list after all events. The first has the complete list; later ones have what has changed.
+/// The list of servers after all events. An event with `reset` holds the complete list, and any other event holds changes.
 fn initial_list(known: RawKnown) -> List {
     let mut entries: Vec<Entry> = Vec::new();
     for event in known.results {
@@ -187,7 +191,7 @@
     }
 }
 
-/// A server of an event; none where the event removes it.
+/// The list entry for a server of an event; `None` if the event removes the server.
 fn entry(instance: RawInstance) -> Option<Entry> {
     let state = match instance.lifecycle {
         RawLifecycle::Ready => State::Ready,
--- a/crates/node-protocol/src/directory.rs
+++ b/crates/node-protocol/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: one DNS query brings the whole list of servers.
+//! The directory: the response to one DNS query holds the complete list of servers.
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::SRV;
 use hickory_proto::rr::{DNSClass, Name, RData, RecordType};
@@ -8,56 +8,56 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The service whose records are queried.
-const SERVICE: &str = "_work._tcp.fleet.local.";
-/// Responses have this many bytes at most.
+/// The DNS name of the service whose SRV records list the servers.
+const SERVICE_NAME: &str = "_work._tcp.fleet.local.";
+/// The largest response of the directory, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 8192;
-/// The priority of a server that is ready; any other is draining.
+/// SRV priority of a server that is ready. Any other priority means that the server is draining.
 const READY_PRIORITY: u16 = 0;
-/// Weights are tenths on the wire.
+/// SRV weights are integers and state a server's weight in tenths.
 const WEIGHT_SCALE: f64 = 10.0;
 
-/// A server's state in the list. One that was removed is not in it.
+/// The state of a listed server. A server that was removed is not listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It runs.
+    /// The server accepts new sessions.
     Ready,
-    /// It is draining.
+    /// The server completes its sessions and should get no new ones.
     Draining,
 }
 
-/// A server of the list.
+/// A server in the directory's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its id.
+    /// The server's id, which is the first label of its host name.
     pub name: String,
-    /// The address that it listens on.
+    /// The address on which the server accepts connections of front nodes.
     pub address: SocketAddr,
-    /// Its zone's name.
+    /// The name of the server's zone.
     pub zone: String,
-    /// Its kind's name.
+    /// The name of the server's kind, as in the settings.
     pub kind: String,
-    /// Its cell.
+    /// The number of the server's cell.
     pub cell: u16,
-    /// Its state.
+    /// Whether the server is ready or draining.
     pub state: State,
-    /// Its size in relation to others.
+    /// The server's capacity relative to other servers.
     pub weight: f64,
-    /// Unix milliseconds of a late start, or 0.
+    /// When the server started, in milliseconds of Unix time; 0 if it started long ago.
     pub started_ms: u64,
 }
 
-/// The complete list.
+/// A complete list of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct List {
-    /// The number of the latest change that it includes.
+    /// The version of the list, which wraps around; see [`List::is_older_than`].
     pub serial: u32,
-    /// The servers.
+    /// The listed servers.
     pub entries: Vec<Entry>,
 }
 
 impl List {
-    /// Whether its serial is lower than the other's by serial number arithmetic (RFC 1982), as serials wrap around.
+    /// Whether this list's serial is lower than the other's in serial number arithmetic (RFC 1982), as serials wrap around.
     #[must_use]
     pub fn is_older_than(&self, other: &List) -> bool {
         let ahead = other.serial.wrapping_sub(self.serial);
@@ -65,38 +65,38 @@
     }
 }
 
-/// Why a response can't be used.
+/// Why a response of the directory can't be used.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
-    /// It is no DNS message.
-    #[error("malformed: {0}")]
+    /// The bytes are not a DNS message, or the query could not be encoded.
+    #[error("malformed DNS message: {0}")]
     Malformed(String),
-    /// It answers another query.
-    #[error("an answer to another query")]
+    /// The message has the id of another query.
+    #[error("the response has the id of another query")]
     OtherId,
-    /// It is no response.
-    #[error("no answer to what was asked")]
+    /// The message is a query instead of a response.
+    #[error("the message is not a response")]
     NoAnswer,
-    /// It was truncated.
-    #[error("cut short")]
+    /// The response has the truncation flag.
+    #[error("the response is truncated")]
     Truncated,
-    /// The directory reports a failure with this code.
-    #[error("the directory failed (code {0})")]
+    /// The directory reports a failure with this DNS response code.
+    #[error("the directory reported an error (DNS response code {0})")]
     Failed(u16),
-    /// It has no serial.
-    #[error("no serial")]
+    /// The response has no SOA record, which states the serial.
+    #[error("the response has no SOA record with a serial")]
     NoSerial,
-    /// The records of the server of this name do not fit together.
-    #[error("records of server {0:?} do not fit together")]
+    /// The address or text record of the server with this name is missing or malformed.
+    #[error("the address or text record of server {0:?} is missing or malformed")]
     Server(String),
 }
 
-/// The query with this id.
+/// The DNS query for the list of servers, with this message id.
 ///
 /// # Errors
-/// It could not be written.
+/// [`ResponseError::Malformed`]: the query could not be encoded.
 pub fn query(id: u16) -> Result<Vec<u8>, ResponseError> {
-    let name = Name::from_str(SERVICE).map_err(malformed)?;
+    let name = Name::from_str(SERVICE_NAME).map_err(malformed)?;
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     let mut query = Query::query(name, RecordType::SRV);
     query.set_query_class(DNSClass::IN);
@@ -108,16 +108,16 @@
     ResponseError::Malformed(error.to_string())
 }
 
-/// The id of a message; a response has that of its query.
+/// The id of an encoded DNS message; a response has the id of its query. `None` if there are fewer than two bytes.
 #[must_use]
 pub fn message_id(bytes: &[u8]) -> Option<u16> {
     bytes.first_chunk().map(|id| u16::from_be_bytes(*id))
 }
 
-/// Reads the response to the query with this id.
+/// Parses the response to the query with this id.
 ///
 /// # Errors
-/// It can't be used: the list in force stays.
+/// The response can't be used; the list in use should stay in use.
 pub fn parse_response(id: u16, bytes: &[u8]) -> Result<List, ResponseError> {
     let message = Message::from_vec(bytes).map_err(malformed)?;
     check_header(id, &message)?;
@@ -158,7 +158,7 @@
         })
 }
 
-/// A response's records, by the host that they are about.
+/// The records of a response: all SRV records, and address and text records by lowercase host name.
 #[derive(Default)]
 struct Records<'a> {
     services: Vec<&'a SRV>,
@@ -186,8 +186,8 @@
         records
     }
 
-    /// The server of a service record: its host's first two labels are its id and zone, the host's text record has its other
-    /// fields.
+    /// The server that an SRV record lists. The first two labels of its host name are the server's id and zone; the text record
+    /// of the host has the other fields.
     fn entry(&self, service: &SRV) -> Result<Entry, ResponseError> {
         let host = service.target.to_lowercase();
         let mut labels = host.iter().map(lossy);
@@ -212,7 +212,7 @@
         })
     }
 
-    /// What the address and text records have about a host; none if anything is missing.
+    /// The fields of a host from its address and text records; `None` if one is missing or malformed.
     fn host_fields(&self, host: &Name) -> Option<HostFields> {
         let address = *self.addresses.get(host)?;
         let text = self.texts.get(host)?;
@@ -225,7 +225,7 @@
     }
 }
 
-/// What the address and text records have about a host.
+/// The fields of a host from its address and text records.
 struct HostFields {
     address: IpAddr,
     kind: String,
@@ -233,10 +233,10 @@
     started_ms: u64,
 }
 
-/// The value of the first `key=value` with this key.
+/// The value of the first string of a text record that has the form `key=value` with this key.
 fn field<'a>(text: &'a [String], key: &str) -> Option<&'a str> {
     text.iter()
-        .find_map(|part| part.strip_prefix(key)?.strip_prefix('='))
+        .find_map(|string| string.strip_prefix(key)?.strip_prefix('='))
 }
 
 fn lossy(bytes: &[u8]) -> String {
--- a/crates/node-protocol/src/lib.rs
+++ b/crates/node-protocol/src/lib.rs
@@ -1,14 +1,14 @@
-//! What a front node exchanges with viewers, servers and the directory, without I/O: bytes in, typed messages or a typed error
-//! out, and the other way round.
+//! The protocols that a front node speaks with viewers, servers and the directory, and its configuration. Nothing here does
+//! I/O: bytes are decoded to typed messages or a typed error, and messages are encoded to bytes.
 //!
-//! - [`viewers`]: JSON lines with viewers;
-//! - [`rtsp`]: with servers;
-//! - [`directory`]: DNS with the directory;
-//! - [`config`]: the configuration that a node is started with.
+//! - [`viewers`]: the protocol with viewers, one JSON object per line;
+//! - [`rtsp`]: the protocol with servers, a subset of RTSP;
+//! - [`directory`]: the DNS query for the list of servers;
+//! - [`config`]: the configuration with which a front node is started.
 //!
-//! The two decoders are incremental: they are fed what a socket gives, buffer what is not complete yet, and never more than
-//! [`MAX_MESSAGE_BYTES`] of it, whatever length a peer claims. After an error nothing more can be read from a stream, as the
-//! start of the next message is unknown.
+//! The decoders of viewers and servers are incremental: they take the bytes of a stream as they arrive and buffer an
+//! incomplete message, but never more than [`MAX_MESSAGE_BYTES`] of it, whatever length the peer claims. After an error
+//! nothing more can be decoded from the stream, because the start of the next message is unknown.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 pub mod config;
@@ -21,5 +21,5 @@
 pub(crate) use receive_buffer::ReceiveBuffer;
 pub use tag::Tag;
 
-/// The longest message of a viewer or server, in bytes.
+/// The longest message that is accepted from a viewer or server, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
--- a/crates/node-protocol/src/rtsp/decode.rs
+++ b/crates/node-protocol/src/rtsp/decode.rs
@@ -1,39 +1,39 @@
-//! Decoding what servers send.
+//! Decodes the messages of servers.
 use super::{Kind, Message};
 use crate::{ReceiveBuffer, Tag, MAX_MESSAGE_BYTES};
 use thiserror::Error;
 
-const VERSION: &str = "RTSP/1.0";
+const RTSP_VERSION: &str = "RTSP/1.0";
 
-/// Why no more messages can be read from a stream.
+/// Why no more messages can be decoded from a stream.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// A message is longer, or claims to be, than any may be.
-    #[error("a message that is too long")]
+    /// A message is longer than [`MAX_MESSAGE_BYTES`], or its `Content-Length` says so.
+    #[error("a message is longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
-    /// The first line is neither a request's nor a response's.
-    #[error("a first line that is none")]
+    /// The first line of a message is neither a request line nor a status line.
+    #[error("the first line of a message is neither a request line nor a status line")]
     StartLine,
-    /// A line is no header, or repeats one that may occur only once.
-    #[error("a header that is none")]
+    /// A header line is malformed, or repeats a header that may occur only once.
+    #[error("a header is malformed or repeated")]
     Header,
-    /// The length of the body is missing or no number.
-    #[error("a body without a length")]
+    /// The `Content-Length` is missing or not a number.
+    #[error("the Content-Length is missing or not a number")]
     Length,
-    /// The text of a header is not UTF-8.
-    #[error("text that is not UTF-8")]
+    /// A header line is not UTF-8.
+    #[error("a header is not UTF-8")]
     Text,
 }
 
-/// Decodes the byte stream of a server's connection.
+/// Incrementally decodes the byte stream of a server's connection.
 #[derive(Debug, Default)]
 pub struct Decoder(ReceiveBuffer);
 
 impl Decoder {
-    /// Takes bytes and adds the messages that are complete now to `messages`.
+    /// Takes the next bytes of the stream and appends the messages that they complete to `messages`.
     ///
     /// # Errors
-    /// No more messages can be read from the stream; those before the error are in `messages`.
+    /// The stream is malformed, and no more messages can be decoded from it. The messages before the error are in `messages`.
     pub fn feed(&mut self, bytes: &[u8], messages: &mut Vec<Message>) -> Result<(), DecodeError> {
         self.0.feed(bytes, |rest| {
             let Some(decoded) = decode_message(rest)? else {
@@ -44,32 +44,32 @@
         })
     }
 
-    /// Whether a message is partially received.
+    /// Whether a message was received only in part so far.
     #[must_use]
     pub fn has_partial_message(&self) -> bool {
         !self.0.is_empty()
     }
 }
 
-/// A message, and how many bytes it takes.
+/// A decoded message and its length in bytes on the wire.
 struct Decoded {
     message: Message,
     length: usize,
 }
 
-/// A message's headers, and how many bytes they take with the empty line behind them.
+/// The headers of a message, and their length in bytes including the empty line that ends them.
 struct HeaderSection {
     headers: Headers,
     length: usize,
 }
 
-/// A line without its end, and how many bytes it takes with it.
+/// A line without its line break, and its length in bytes including the line break.
 struct Line<'a> {
     text: &'a [u8],
     length: usize,
 }
 
-/// The first line of `rest`, if it is complete.
+/// The first line of `rest`; `None` if it is incomplete.
 fn first_line(rest: &[u8]) -> Option<Line<'_>> {
     let end = rest.iter().position(|byte| *byte == b'\n')?;
     let text = &rest[..end];
@@ -79,7 +79,7 @@
     })
 }
 
-/// Reads one message from the start of `rest`; none while more must be received.
+/// Decodes the message at the start of `rest`; `None` if it is incomplete.
 fn decode_message(rest: &[u8]) -> Result<Option<Decoded>, DecodeError> {
     let head = &rest[..rest.len().min(MAX_MESSAGE_BYTES)];
     let Some(first) = first_line(head) else {
@@ -91,7 +91,7 @@
     };
     let headers = section.headers;
     let body_start = first.length + section.length;
-    // Why: a peer that claims a huge length must not make the node buffer or wait for it, so the claim alone is an error.
+    // A stated length beyond the limit is an error at once, so that the node neither buffers such a body nor waits for it.
     let body_length = headers.content_length.ok_or(DecodeError::Length)?;
     let end = body_start
         .checked_add(body_length)
@@ -113,7 +113,7 @@
     }))
 }
 
-/// Reads headers up to the empty line that ends them; none while that line was not received.
+/// Decodes headers up to the empty line that ends them; `None` if that line was not received yet.
 fn read_headers(text: &[u8]) -> Result<Option<HeaderSection>, DecodeError> {
     let mut headers = Headers::default();
     let mut length = 0;
@@ -127,7 +127,7 @@
     Ok(None)
 }
 
-/// The message is incomplete: none, or an error if it is too long already.
+/// The result for an incomplete message: `None`, or an error if it is already too long.
 fn incomplete(rest: &[u8]) -> Result<Option<Decoded>, DecodeError> {
     if rest.len() >= MAX_MESSAGE_BYTES {
         return Err(DecodeError::TooLong);
@@ -135,7 +135,7 @@
     Ok(None)
 }
 
-/// The first line is incomplete: none, or an error at once if it can't become a message.
+/// The result for an incomplete first line: `None`, or an error if no message can start like this.
 fn incomplete_first_line(rest: &[u8]) -> Result<Option<Decoded>, DecodeError> {
     let may_be_message = rest.first().is_none_or(u8::is_ascii_uppercase);
     if !may_be_message {
@@ -144,8 +144,8 @@
     incomplete(rest)
 }
 
-/// A message's headers. The three that may occur only once have fields of their own: the outer option is whether the header
-/// occurred, the inner whether its value could be read.
+/// The headers of a message. The three that may occur only once have fields of their own: the outer option is `None` if the
+/// header did not occur, and the inner one if its value is malformed.
 #[derive(Default)]
 struct Headers {
     content_length: Option<usize>,
@@ -155,6 +155,7 @@
 }
 
 impl Headers {
+    /// Adds a header line.
     fn read(&mut self, line: &[u8]) -> Result<(), DecodeError> {
         let text = std::str::from_utf8(line).map_err(|_| DecodeError::Text)?;
         let (name, value) = text.split_once(':').ok_or(DecodeError::Header)?;
@@ -176,6 +177,7 @@
     }
 }
 
+/// Sets a header that may occur only once.
 fn set_once<T>(header: &mut Option<T>, value: T) -> Result<(), DecodeError> {
     match header.replace(value) {
         None => Ok(()),
@@ -188,7 +190,7 @@
     !name.is_empty() && name.bytes().all(is_name_byte)
 }
 
-/// A number written in digits only, without a sign.
+/// Parses a number that consists of digits only; `parse` alone would accept a sign.
 fn decimal(text: &str) -> Option<usize> {
     let is_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     if !is_digits {
@@ -197,17 +199,18 @@
     text.parse().ok()
 }
 
+/// Parses the first line of a message.
 fn start_line(text: &[u8]) -> Result<Kind, DecodeError> {
     let text = std::str::from_utf8(text).map_err(|_| DecodeError::StartLine)?;
     let mut words = text.splitn(3, ' ');
     let (Some(first), Some(second)) = (words.next(), words.next()) else {
         return Err(DecodeError::StartLine);
     };
-    if first == VERSION {
+    if first == RTSP_VERSION {
         let status = response_status(second).ok_or(DecodeError::StartLine)?;
         return Ok(Kind::Response(status));
     }
-    if is_method(first) && second.starts_with("rtsp://") && words.next() == Some(VERSION) {
+    if is_method(first) && second.starts_with("rtsp://") && words.next() == Some(RTSP_VERSION) {
         return Ok(Kind::Request(first.to_owned(), second.to_owned()));
     }
     Err(DecodeError::StartLine)
--- a/crates/node-protocol/src/rtsp/mod.rs
+++ b/crates/node-protocol/src/rtsp/mod.rs
@@ -1,4 +1,4 @@
-//! Servers: RTSP messages, each with its `Content-Length`.
+//! The protocol with servers: RTSP messages, each of which has a `Content-Length`.
 mod decode;
 mod encode;
 
@@ -7,62 +7,63 @@
 pub use decode::{DecodeError, Decoder};
 pub use encode::{acknowledge, cancel, health_check, release, set_rung, set_up, SetUp};
 
-/// Sequence numbers that the protocol fixes.
+/// Sequence numbers (`CSeq`), of which the protocol has one for each kind of request.
 pub mod cseq {
-    /// Of `SETUP` and its answers.
+    /// The sequence number of `SETUP` and its responses.
     pub const SET_UP: u32 = 1;
-    /// Of `TEARDOWN`.
+    /// The sequence number of `TEARDOWN`.
     pub const TEAR_DOWN: u32 = 2;
-    /// Of `OPTIONS`.
+    /// The sequence number of `OPTIONS`.
     pub const OPTIONS: u32 = 3;
-    /// Of requests that need no response.
+    /// The sequence number of requests that need no response.
     pub const ONE_WAY: u32 = 4;
 }
 
-/// Statuses of responses that the node tells apart.
+/// Response statuses that a front node distinguishes.
 pub mod status {
-    /// Accepted.
+    /// The request succeeded.
     pub const OK: u16 = 200;
     /// The server has no capacity.
     pub const NOT_ENOUGH_BANDWIDTH: u16 = 453;
-    /// The server never began the session.
+    /// The server never started the session.
     pub const SESSION_NOT_FOUND: u16 = 454;
-    /// The set-up broke off within the server.
+    /// The set-up failed within the server.
     pub const GATEWAY_TIMEOUT: u16 = 504;
 }
 
-/// What a message is.
+/// Whether a message is a request or a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A request: its method and address.
+    /// A request with its method and its address, an `rtsp://` URI.
     Request(String, String),
-    /// A response: its status.
+    /// A response with its status.
     Response(u16),
 }
 
-/// A message.
+/// A decoded message of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// What it is.
+    /// Whether it is a request or a response.
     pub kind: Kind,
-    /// Its sequence number, if it has one that can be read.
+    /// The sequence number; `None` if it is missing or malformed.
     pub cseq: Option<u32>,
-    /// The session, if it names one.
+    /// The id of the session; `None` if it is missing or malformed.
     pub session: Option<Tag>,
-    /// Its other headers, as names and values.
+    /// The names and values of all other headers, in the order received.
     pub headers: Vec<(String, String)>,
-    /// Its body, byte for byte. It may be anything: a response that no attempt waits for has one, too.
+    /// The body, byte for byte. It may be any bytes, and also a response that no attempt waits for may have one.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The body as text, if it is text.
+    /// The body as text; `None` if it is not UTF-8.
     #[must_use]
     pub fn text(&self) -> Option<&str> {
         std::str::from_utf8(&self.body).ok()
     }
 
-    /// A header, whatever the case of its name.
+    /// The value of the first header with this name, compared without case. `CSeq`, `Session` and `Content-Length` are not
+    /// among these headers.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
@@ -71,13 +72,13 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether it releases a session.
+    /// Whether the message is a request that ends a session.
     #[must_use]
     pub fn is_release(&self) -> bool {
         matches!(&self.kind, Kind::Request(method, _) if method == "TEARDOWN")
     }
 
-    /// The cause of a release, if it has one.
+    /// The cause of a release, from its `Reason` header; `None` if it is missing or malformed.
     #[must_use]
     pub fn cause(&self) -> Option<u16> {
         self.header("Reason")?
@@ -88,14 +89,14 @@
             .ok()
     }
 
-    /// The load report in it, on the wire `X-State: x0:0.4;x1:0.8`; what can't be read is left out.
+    /// The load report of the message, in a header such as `X-State: x0:0.4;x1:0.8`. Malformed figures are left out.
     #[must_use]
     pub fn load_report(&self) -> Vec<Figure<'_>> {
         let report = self.header("X-State").unwrap_or_default();
         report.split(';').filter_map(Figure::parse).collect()
     }
 
-    /// The update on a session in it, on the wire `X-Note` and `Figure`.
+    /// The session update in the headers `X-Note` (the name) and `Figure` (the value); `None` if one is missing or malformed.
     #[must_use]
     pub fn session_update(&self) -> Option<Figure<'_>> {
         let value = finite(self.header("Figure")?)?;
@@ -104,17 +105,17 @@
     }
 }
 
-/// A figure that a server reports, under the protocol's name for it.
+/// A figure that a server reports in a load report or a session update.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figure<'a> {
-    /// Its name.
+    /// The name that the protocol or the settings give the figure.
     pub name: &'a str,
-    /// Its value; finite.
+    /// The value, which is finite.
     pub value: f64,
 }
 
 impl<'a> Figure<'a> {
-    /// Reads `name:value`.
+    /// Parses `name:value`.
     fn parse(text: &'a str) -> Option<Figure<'a>> {
         let (name, value) = text.split_once(':')?;
         Some(Figure {
@@ -124,7 +125,7 @@
     }
 }
 
-/// A finite number, with or without spaces around it.
+/// Parses a finite number; surrounding spaces are ignored.
 fn finite(text: &str) -> Option<f64> {
     let number: f64 = text.trim().parse().ok()?;
     number.is_finite().then_some(number)
--- a/crates/node-protocol/src/tag.rs
+++ b/crates/node-protocol/src/tag.rs
@@ -1,12 +1,12 @@
-//! The id of a session on the wire.
+//! The id of a session as it is on the wire.
 use std::fmt;
 
-/// The 16 hex digits that name a session, passed on as they came.
+/// The id of a session: 16 hex digits, which are passed on exactly as received, including their case.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tag([u8; 16]);
 
 impl Tag {
-    /// Reads a tag; `None` unless it is 16 hex digits.
+    /// Parses a tag; `None` unless `text` is exactly 16 hex digits.
     #[must_use]
     pub fn parse(text: &str) -> Option<Tag> {
         let digits: [u8; 16] = text.as_bytes().try_into().ok()?;
@@ -14,10 +14,10 @@
         is_hex.then_some(Tag(digits))
     }
 
-    /// The digits as they came.
+    /// The digits exactly as received.
     #[must_use]
     pub fn as_str(&self) -> &str {
-        std::str::from_utf8(&self.0).unwrap_or_default() // Hex digits are text.
+        std::str::from_utf8(&self.0).unwrap_or_default() // Never fails: hex digits are ASCII.
     }
 }
 
--- a/crates/node-protocol/src/viewers/decode.rs
+++ b/crates/node-protocol/src/viewers/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding what viewers send.
+//! Decodes the messages of viewers.
 use super::{Message, Opts, SetUp};
 use crate::{ReceiveBuffer, Tag, MAX_MESSAGE_BYTES};
 use serde::Deserialize;
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why no more messages can be read from a stream.
+/// Why no more messages can be decoded from a stream.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// A line is longer than any message.
-    #[error("a line of over {MAX_MESSAGE_BYTES} bytes")]
+    /// A line is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("a line is longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
     /// A line is not a message of the protocol; the text says why.
-    #[error("no message: {0}")]
-    NoMessage(String),
+    #[error("invalid message: {0}")]
+    InvalidMessage(String),
 }
 
-/// A line as it is on the wire; its field names are the protocol's.
+/// A message as it is on the wire, with the field names of the protocol.
 #[derive(Deserialize)]
 struct Line {
     verb: String,
@@ -28,15 +28,15 @@
     blob: Option<String>,
 }
 
-/// Decodes the byte stream of a viewer's connection.
+/// Incrementally decodes the byte stream of a viewer's connection.
 #[derive(Debug, Default)]
 pub struct Decoder(ReceiveBuffer);
 
 impl Decoder {
-    /// Takes bytes and adds the messages that are complete now to `messages`.
+    /// Takes the next bytes of the stream and appends the messages that they complete to `messages`.
     ///
     /// # Errors
-    /// No more messages can be read from the stream; those before the error are in `messages`.
+    /// The stream is malformed, and no more messages can be decoded from it. The messages before the error are in `messages`.
     pub fn feed(&mut self, bytes: &[u8], messages: &mut Vec<Message>) -> Result<(), DecodeError> {
         self.0.feed(bytes, |rest| {
             let head = &rest[..rest.len().min(MAX_MESSAGE_BYTES)];
@@ -51,21 +51,22 @@
         })
     }
 
-    /// Whether a message is partially received.
+    /// Whether a message was received only in part so far.
     #[must_use]
     pub fn has_partial_message(&self) -> bool {
         !self.0.is_empty()
     }
 }
 
-fn no_message(what: &str) -> DecodeError {
-    DecodeError::NoMessage(what.to_owned())
+fn invalid_message(reason: &str) -> DecodeError {
+    DecodeError::InvalidMessage(reason.to_owned())
 }
 
 fn decode_line(line: &[u8]) -> Result<Message, DecodeError> {
-    let line: Line =
-        serde_json::from_slice(line).map_err(|error| DecodeError::NoMessage(error.to_string()))?;
-    let tag = Tag::parse(&line.tag).ok_or_else(|| no_message("the tag is not 16 hex digits"))?;
+    let line: Line = serde_json::from_slice(line)
+        .map_err(|error| DecodeError::InvalidMessage(error.to_string()))?;
+    let tag =
+        Tag::parse(&line.tag).ok_or_else(|| invalid_message("the tag is not 16 hex digits"))?;
     match line.verb.as_str() {
         "START" => Ok(Message::Start(SetUp {
             tag,
@@ -78,14 +79,14 @@
         }),
         "ECHO" => Ok(Message::Echo(tag)),
         "PENDING" | "FINISHED" | "NOTICE" | "ECHOED" => Ok(Message::Idle),
-        _ => Err(no_message("an unknown type")),
+        _ => Err(invalid_message("the verb is unknown")),
     }
 }
 
 fn finish_cause(rc: Option<&Value>) -> Result<u16, DecodeError> {
     rc.and_then(Value::as_u64)
         .and_then(|cause| u16::try_from(cause).ok())
-        .ok_or_else(|| no_message("a release without a cause"))
+        .ok_or_else(|| invalid_message("a FINISH has no valid cause (rc)"))
 }
 
 fn decode_opts(opts: BTreeMap<String, Value>) -> Result<Opts, DecodeError> {
@@ -93,7 +94,9 @@
         .map(|(name, value)| match value {
             Value::String(text) => Ok((name, text)),
             Value::Number(number) => Ok((name, number.to_string())),
-            _ => Err(no_message("a field that is neither text nor a number")),
+            _ => Err(invalid_message(
+                "a field of opts is neither a text nor a number",
+            )),
         })
         .collect()
 }
--- a/crates/node-protocol/src/viewers/mod.rs
+++ b/crates/node-protocol/src/viewers/mod.rs
@@ -1,4 +1,4 @@
-//! Viewers: one JSON object a line.
+//! The protocol with viewers: one JSON object per line.
 mod decode;
 mod encode;
 mod set_up_params;
@@ -12,51 +12,51 @@
 
 /// The protocol's causes of a release (`rc` on the wire).
 pub mod cause {
-    /// The session has ended normally; if it has no answer yet, its set-up is cancelled.
+    /// The session has ended normally. If its set-up is still in progress, the set-up is cancelled.
     pub const NORMAL: u16 = 16;
-    /// Migrated, or ended by its viewer.
+    /// The session was migrated, or its viewer ended it.
     pub const CANCELLED: u16 = 31;
-    /// Rejected: no server has capacity.
+    /// The set-up was rejected because no server has capacity.
     pub const NO_CAPACITY: u16 = 34;
-    /// The session was cut, or its set-up failed.
+    /// The session ended abnormally, or its set-up failed.
     pub const CUT: u16 = 41;
-    /// Rejected: the front node is overloaded.
+    /// The set-up was rejected because the front node is overloaded.
     pub const CONGESTION: u16 = 42;
-    /// The set-up can't be read (no such class, a figure out of range).
+    /// The set-up has an invalid field, such as an unknown class or a number out of range.
     pub const INVALID: u16 = 100;
 }
 
-/// A set-up as it was sent.
+/// A set-up request of a viewer, with its fields unchecked.
 ///
-/// Why its fields are read apart, by [`SetUp::set_up_params`]: a set-up with an invalid field still has a tag, by which it
-/// can be rejected.
+/// The fields are parsed separately, by [`SetUp::set_up_params`], so that a set-up with an invalid field still has a tag with
+/// which it can be rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUp {
-    /// The session.
+    /// The id of the requested session.
     pub tag: Tag,
-    /// Its fields.
+    /// The fields of the request by name.
     pub opts: Opts,
-    /// The description, passed on unchanged.
+    /// The session description, which is passed on to the server unchanged; `None` if the viewer sent none.
     pub blob: Option<String>,
 }
 
-/// Fields of a message: text or numbers, both as text.
+/// The fields of a message by name. Values are texts or numbers on the wire; both are kept as text.
 pub type Opts = BTreeMap<String, String>;
 
-/// What a viewer sends.
+/// A message of a viewer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// It requests a session.
+    /// The viewer requests a session.
     Start(SetUp),
-    /// It cancels its set-up, or ends its session.
+    /// The viewer cancels its set-up or ends its session.
     Finish {
-        /// The session.
+        /// The id of the session.
         tag: Tag,
-        /// Why.
+        /// Why it ends; see [`cause`].
         cause: u16,
     },
-    /// It tests whether the node answers.
+    /// The viewer tests whether the node responds; the answer is [`echoed`].
     Echo(Tag),
-    /// A message that needs no action: progress, the acknowledgement of a release, a notice.
+    /// A message that needs no action: a progress report, the acknowledgement of a release, a notice or an echo.
     Idle,
 }
--- a/crates/node-protocol/tests/codecs.rs
+++ b/crates/node-protocol/tests/codecs.rs
@@ -1,57 +1,68 @@
-//! The stream codecs: complete messages, byte by byte, garbage, and false lengths.
+//! The codecs of viewer and server streams: complete messages, messages split at arbitrary places, garbage, and false lengths.
 use crankpaddle_node_protocol::rtsp::{self, Figure, Kind};
 use crankpaddle_node_protocol::viewers::{self, InvalidField, Message};
 use crankpaddle_node_protocol::{Tag, MAX_MESSAGE_BYTES};
 use proptest::prelude::*;
 
-fn tag(n: u64) -> Tag {
-    Tag::parse(&format!("{n:016x}")).expect("16 hex digits")
+fn tag(number: u64) -> Tag {
+    Tag::parse(&format!("{number:016x}")).expect("16 hex digits")
 }
 
-/// Feeds bytes in pieces of these sizes, again and again, up to the first error, which it returns.
+/// Feeds bytes in pieces, whose sizes are used in turn and repeated, up to the first error, which is returned.
 fn feed_in_pieces<E>(
     bytes: &[u8],
-    pieces: &[usize],
+    piece_sizes: &[usize],
     mut feed: impl FnMut(&[u8]) -> Result<(), E>,
 ) -> Option<E> {
-    let mut at = 0;
-    for size in pieces.iter().copied().cycle() {
-        let end = (at + size.max(1)).min(bytes.len());
-        if let Err(error) = feed(&bytes[at..end]) {
+    let mut position = 0;
+    for size in piece_sizes.iter().copied().cycle() {
+        let end = (position + size.max(1)).min(bytes.len());
+        if let Err(error) = feed(&bytes[position..end]) {
             return Some(error);
         }
-        at = end;
-        if at == bytes.len() {
+        position = end;
+        if position == bytes.len() {
             break;
         }
     }
     None
 }
 
-/// The messages up to the first error, and that error.
-fn decode_viewers(bytes: &[u8], pieces: &[usize]) -> (Vec<Message>, Option<viewers::DecodeError>) {
-    let (mut decoder, mut out) = (viewers::Decoder::default(), Vec::new());
-    let error = feed_in_pieces(bytes, pieces, |piece| decoder.feed(piece, &mut out));
-    (out, error)
+/// Decodes a viewer's stream that arrives in pieces; returns the messages up to the first error, and that error.
+fn decode_viewers(
+    bytes: &[u8],
+    piece_sizes: &[usize],
+) -> (Vec<Message>, Option<viewers::DecodeError>) {
+    let (mut decoder, mut messages) = (viewers::Decoder::default(), Vec::new());
+    let error = feed_in_pieces(bytes, piece_sizes, |piece| {
+        decoder.feed(piece, &mut messages)
+    });
+    (messages, error)
 }
 
+/// As [`decode_viewers`], for a server's stream.
 fn decode_servers(
     bytes: &[u8],
-    pieces: &[usize],
+    piece_sizes: &[usize],
 ) -> (Vec<rtsp::Message>, Option<rtsp::DecodeError>) {
-    let (mut decoder, mut out) = (rtsp::Decoder::default(), Vec::new());
-    let error = feed_in_pieces(bytes, pieces, |piece| decoder.feed(piece, &mut out));
-    (out, error)
+    let (mut decoder, mut messages) = (rtsp::Decoder::default(), Vec::new());
+    let error = feed_in_pieces(bytes, piece_sizes, |piece| {
+        decoder.feed(piece, &mut messages)
+    });
+    (messages, error)
 }
 
-fn start(n: u64, extras: &str, left: &str, blob: &str) -> Vec<u8> {
-    let line = serde_json::json!({"verb": "START", "tag": tag(n).as_str(), "blob": blob, "opts": {
+/// A START message of a viewer.
+fn start(tag_number: u64, extras: &str, left: &str, blob: &str) -> Vec<u8> {
+    let line = serde_json::json!({"verb": "START", "tag": tag(tag_number).as_str(), "blob": blob, "opts": {
         "class": "paid", "left": left, "key": "7f3a9c21e0b4d655", "extras": extras}});
     format!("{line}\n").into_bytes()
 }
 
+/// The required fields of `extras`.
 const EXTRAS: &str = "home:4;copies:3;top:4;viewer:00000000b4d65521";
 
+/// The parsed fields of a START message with these `extras` and `left`.
 fn set_up_params_of(extras: &str, left: &str) -> Result<viewers::SetUpParams, InvalidField> {
     let (messages, error) = decode_viewers(&start(1, extras, left, "x"), &[MAX_MESSAGE_BYTES]);
     assert_eq!(error, None);
@@ -62,7 +73,7 @@
 }
 
 #[test]
-fn a_set_up_is_read_with_its_figures() {
+fn fields_of_a_set_up_are_parsed() {
     let params = set_up_params_of(
         "home:4;copies:3;top:4;viewer:00000000b4d65521;again:1;later:x",
         "1500",
@@ -88,9 +99,9 @@
 }
 
 #[test]
-fn a_set_up_of_a_session_that_plays_already_names_its_server_and_no_time() {
-    let params =
-        set_up_params_of(&format!("{EXTRAS};at:s-00c41f7a"), "-1").expect("its time means nothing");
+fn a_set_up_of_a_session_that_already_plays_has_a_server_and_needs_no_wait() {
+    let params = set_up_params_of(&format!("{EXTRAS};at:s-00c41f7a"), "-1")
+        .expect("left has no meaning for a session that already plays");
     assert_eq!(
         (params.current_server.as_deref(), params.max_wait_ms),
         (Some("s-00c41f7a"), 0)
@@ -98,7 +109,7 @@
 }
 
 #[test]
-fn figures_out_of_range_or_missing_are_named() {
+fn errors_name_the_field_that_is_missing_or_out_of_range() {
     for (extras, left, field) in [
         (EXTRAS, "-1", "left"),
         (EXTRAS, "0", "left"),
@@ -137,8 +148,8 @@
 }
 
 #[test]
-fn a_malformed_line_ends_the_stream_after_the_messages_before_it() {
-    for bad in [
+fn messages_before_a_malformed_line_are_decoded() {
+    for malformed in [
         "\n",
         "{}\n",
         "[1,2]\n",
@@ -154,56 +165,58 @@
         "\u{16}\u{3}\u{1}\n",
     ] {
         let mut bytes = viewers::finish(tag(7), 16, None);
-        bytes.extend_from_slice(bad.as_bytes());
+        bytes.extend_from_slice(malformed.as_bytes());
         let (messages, error) = decode_viewers(&bytes, &[MAX_MESSAGE_BYTES]);
-        assert_eq!(messages, [Message::Finish { tag: tag(7), cause: 16 }], "{bad:?}");
-        assert!(matches!(error, Some(viewers::DecodeError::NoMessage(_))), "{bad:?}: {error:?}");
+        assert_eq!(messages, [Message::Finish { tag: tag(7), cause: 16 }], "{malformed:?}");
+        assert!(matches!(error, Some(viewers::DecodeError::InvalidMessage(_))), "{malformed:?}: {error:?}");
     }
 }
 
 #[test]
-fn an_endless_line_ends_at_the_bound() {
+fn a_line_without_end_is_an_error_at_the_longest_message() {
     let (messages, error) = decode_viewers(&vec![b'x'; 3 * MAX_MESSAGE_BYTES], &[1000]);
     assert_eq!(
         (messages.len(), error),
         (0, Some(viewers::DecodeError::TooLong))
     );
     let (_, error) = decode_viewers(&vec![b'x'; MAX_MESSAGE_BYTES - 1], &[1000]);
-    assert_eq!(error, None, "not whole, and it may still become a message");
+    assert_eq!(
+        error, None,
+        "an incomplete line below the limit may still become a message"
+    );
     let longest = start(1, EXTRAS, "9", &"y".repeat(MAX_MESSAGE_BYTES - 400));
     assert!(longest.len() < MAX_MESSAGE_BYTES);
     assert_eq!(decode_viewers(&longest, &[1000]).0.len(), 1);
 }
 
 #[test]
-fn messages_to_viewers_are_those_that_the_platform_names() {
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    let read = |bytes: Vec<u8>| {
-        let text = text(bytes);
+fn messages_to_viewers_have_the_fields_of_the_protocol() {
+    let parse_line = |bytes: Vec<u8>| {
+        let text = String::from_utf8(bytes).expect("text");
         assert!(text.ends_with('\n') && text.matches('\n').count() == 1);
         serde_json::from_str::<serde_json::Value>(&text).expect("JSON")
     };
-    let t = "00000000000000ab";
+    let tag_text = "00000000000000ab";
     assert_eq!(
-        read(viewers::started(tag(0xab), "a\r\nb \"c\"\n")),
-        serde_json::json!({"verb": "STARTED", "tag": t, "opts": {}, "blob": "a\r\nb \"c\"\n"})
+        parse_line(viewers::started(tag(0xab), "a\r\nb \"c\"\n")),
+        serde_json::json!({"verb": "STARTED", "tag": tag_text, "opts": {}, "blob": "a\r\nb \"c\"\n"})
     );
     assert_eq!(
-        read(viewers::finish(tag(0xab), 34, Some(250))),
-        serde_json::json!({"verb": "FINISH", "tag": t, "opts": {"wait": "250"}, "rc": 34})
+        parse_line(viewers::finish(tag(0xab), 34, Some(250))),
+        serde_json::json!({"verb": "FINISH", "tag": tag_text, "opts": {"wait": "250"}, "rc": 34})
     );
     assert_eq!(
-        read(viewers::echoed(tag(0xab))),
-        serde_json::json!({"verb": "ECHOED", "tag": t, "opts": {}, "rc": 1})
+        parse_line(viewers::echoed(tag(0xab))),
+        serde_json::json!({"verb": "ECHOED", "tag": tag_text, "opts": {}, "rc": 1})
     );
     assert_eq!(
-        read(viewers::moved(tag(0xab))),
-        serde_json::json!({"verb": "MOVE", "tag": t, "opts": {}})
+        parse_line(viewers::moved(tag(0xab))),
+        serde_json::json!({"verb": "MOVE", "tag": tag_text, "opts": {}})
     );
 }
 
 #[test]
-fn a_set_up_for_a_server_has_exactly_the_form() {
+fn a_set_up_for_a_server_has_these_headers_and_the_body() {
     let blob = "9d41\r\nc=IN IP4 10.4.7.9\r\n";
     let bytes = rtsp::set_up(&rtsp::SetUp {
         tag: tag(0xab),
@@ -226,28 +239,29 @@
     assert!(text(rtsp::set_rung(tag(1), 2)).contains("\r\nRate-Step: 2\r\n"));
 }
 
-fn response(n: u64, body: &str) -> Vec<u8> {
+/// A server's response with a load report, of which one figure is malformed.
+fn response(tag_number: u64, body: &str) -> Vec<u8> {
     let length = body.len();
-    format!("RTSP/1.0 200 OK\r\ncseq: 1\r\nSession: {}\r\nX-State: x0:0.75; y:zz ;x1:1.5\r\ncontent-length: {length}\r\n\r\n{body}", tag(n))
+    format!("RTSP/1.0 200 OK\r\ncseq: 1\r\nSession: {}\r\nX-State: x0:0.75; y:zz ;x1:1.5\r\ncontent-length: {length}\r\n\r\n{body}", tag(tag_number))
         .into_bytes()
 }
 
 #[test]
-fn a_response_is_read_with_its_load_report_and_its_body_unchanged() {
+fn a_response_is_decoded_with_its_load_report_and_an_unchanged_body() {
     let (messages, error) = decode_servers(&response(5, "a\r\n\r\nb\u{e9}"), &[3]);
     assert_eq!((messages.len(), error), (1, None));
-    let m = &messages[0];
+    let message = &messages[0];
     assert_eq!(
-        (m.kind.clone(), m.cseq, m.session),
+        (message.kind.clone(), message.cseq, message.session),
         (Kind::Response(200), Some(1), Some(tag(5)))
     );
     let figures = [("x0", 0.75), ("x1", 1.5)].map(|(name, value)| Figure { name, value });
-    assert_eq!(m.load_report(), figures);
-    assert_eq!(m.text(), Some("a\r\n\r\nb\u{e9}"));
+    assert_eq!(message.load_report(), figures);
+    assert_eq!(message.text(), Some("a\r\n\r\nb\u{e9}"));
 }
 
 #[test]
-fn updates_and_releases_are_read() {
+fn session_updates_and_releases_are_decoded() {
     let head = "ANNOUNCE rtsp://media/x RTSP/1.0\r\nCSeq: 9\r\nSession: 00000000000000ab\r\n";
     let bytes = format!("{head}X-Note: link_use\r\nFigure: 0.925\r\nContent-Length: 0\r\n\r\n");
     let (messages, _) = decode_servers(bytes.as_bytes(), &[MAX_MESSAGE_BYTES]);
@@ -262,9 +276,9 @@
 }
 
 #[test]
-fn false_lengths_are_never_waited_for() {
-    let with = |length: &str| format!("RTSP/1.0 200 OK\r\nCSeq: 1\r\n{length}\r\n");
-    for (head, error) in [
+fn false_lengths_are_errors_at_once() {
+    let head_with = |fields: &str| format!("RTSP/1.0 200 OK\r\nCSeq: 1\r\n{fields}\r\n");
+    for (fields, error) in [
         ("Content-Length: 3000000000\r\n", rtsp::DecodeError::TooLong),
         (
             "Content-Length: 99999999999999999999999\r\n",
@@ -288,12 +302,12 @@
         ),
     ] {
         assert_eq!(
-            decode_servers(with(head).as_bytes(), &[7]).1,
+            decode_servers(head_with(fields).as_bytes(), &[7]).1,
             Some(error),
-            "{head:?}"
+            "{fields:?}"
         );
     }
-    // A body longer than its length: the rest of it does not begin like a message.
+    // The body is longer than its stated length, and the rest of it does not start like a message.
     let mut bytes = response(1, "abc");
     bytes.extend_from_slice(b"rest of the body\r\n");
     let (messages, error) = decode_servers(&bytes, &[MAX_MESSAGE_BYTES]);
@@ -304,87 +318,88 @@
     assert_eq!(
         decode_servers(&vec![b'A'; 2 * MAX_MESSAGE_BYTES], &[999]).1,
         Some(rtsp::DecodeError::TooLong),
-        "a line without end"
+        "a line without end is an error at the longest message"
     );
     assert_eq!(
         decode_servers(b"\x00\x01\x02", &[1]).1,
         Some(rtsp::DecodeError::StartLine),
-        "noise is seen at once"
+        "bytes that start no message are an error at once"
     );
 }
 
 proptest! {
     #[test]
-    fn set_ups_come_through_whatever_they_say_and_however_they_are_cut(
+    fn set_ups_are_decoded_with_any_blob_and_however_they_are_split(
         set_ups in prop::collection::vec((any::<u64>(), ".{0,200}"), 1..6),
-        pieces in prop::collection::vec(1usize..40, 1..8),
+        piece_sizes in prop::collection::vec(1usize..40, 1..8),
     ) {
         let mut bytes = Vec::new();
-        for (n, blob) in &set_ups {
-            bytes.extend(start(*n, EXTRAS, "800", blob));
+        for (tag_number, blob) in &set_ups {
+            bytes.extend(start(*tag_number, EXTRAS, "800", blob));
         }
-        let (messages, error) = decode_viewers(&bytes, &pieces);
+        let (messages, error) = decode_viewers(&bytes, &piece_sizes);
         prop_assert_eq!(error, None);
         prop_assert_eq!(messages.len(), set_ups.len());
-        for (message, (n, blob)) in messages.iter().zip(&set_ups) {
-            let Message::Start(s) = message else { panic!("{message:?}") };
-            prop_assert_eq!((s.tag, s.blob.as_deref()), (tag(*n), Some(blob.as_str())));
+        for (message, (tag_number, blob)) in messages.iter().zip(&set_ups) {
+            let Message::Start(set_up) = message else { panic!("{message:?}") };
+            prop_assert_eq!((set_up.tag, set_up.blob.as_deref()), (tag(*tag_number), Some(blob.as_str())));
         }
         prop_assert_eq!(decode_viewers(&bytes, &[1]).0, messages);
     }
 
     #[test]
-    fn answers_come_through_however_they_are_cut(
-        answers in prop::collection::vec((any::<u64>(), ".{0,200}"), 1..6),
-        pieces in prop::collection::vec(1usize..40, 1..8),
+    fn responses_are_decoded_however_they_are_split(
+        responses in prop::collection::vec((any::<u64>(), ".{0,200}"), 1..6),
+        piece_sizes in prop::collection::vec(1usize..40, 1..8),
     ) {
-        let bytes: Vec<u8> = answers.iter().flat_map(|(n, body)| response(*n, body)).collect();
-        let (messages, error) = decode_servers(&bytes, &pieces);
+        let bytes: Vec<u8> = responses.iter().flat_map(|(tag_number, body)| response(*tag_number, body)).collect();
+        let (messages, error) = decode_servers(&bytes, &piece_sizes);
         prop_assert_eq!(error, None);
-        let read: Vec<_> = messages.iter().map(|m| (m.session, m.text().expect("text"))).collect();
-        let sent: Vec<_> = answers.iter().map(|(n, body)| (Some(tag(*n)), body.as_str())).collect();
-        prop_assert_eq!(read, sent);
+        let decoded: Vec<_> = messages.iter().map(|message| (message.session, message.text().expect("text"))).collect();
+        let sent: Vec<_> =
+            responses.iter().map(|(tag_number, body)| (Some(tag(*tag_number)), body.as_str())).collect();
+        prop_assert_eq!(decoded, sent);
     }
 
     #[test]
-    fn what_a_server_reads_is_what_the_node_wrote(
-        n in any::<u64>(), blob in ".{0,300}", class in "[a-z-]{1,20}", patience in any::<u64>(), rung in any::<u8>(),
+    fn encoded_set_ups_decode_to_the_same_fields(
+        number in any::<u64>(), blob in ".{0,300}", class in "[a-z-]{1,20}", patience in any::<u64>(), rung in any::<u8>(),
     ) {
-        let title = format!("{n:016x}");
-        let set_up = rtsp::SetUp { tag: tag(n), title: &title, class: &class, patience, rung, blob: &blob };
+        let title = format!("{number:016x}");
+        let set_up = rtsp::SetUp { tag: tag(number), title: &title, class: &class, patience, rung, blob: &blob };
         let (messages, error) = decode_servers(&rtsp::set_up(&set_up), &[5]);
         prop_assert_eq!((messages.len(), error), (1, None));
-        let m = &messages[0];
-        prop_assert_eq!(&m.kind, &Kind::Request("SETUP".into(), format!("rtsp://media/{title}")));
-        prop_assert_eq!(m.header("Subject"), Some(class.as_str()));
-        prop_assert_eq!(m.header("X-Patience").map(str::to_owned), Some(patience.to_string()));
-        prop_assert_eq!(m.header("Rate-Step").map(str::to_owned), Some(rung.to_string()));
-        prop_assert_eq!(m.text(), Some(blob.as_str()));
+        let message = &messages[0];
+        prop_assert_eq!(&message.kind, &Kind::Request("SETUP".into(), format!("rtsp://media/{title}")));
+        prop_assert_eq!(message.header("Subject"), Some(class.as_str()));
+        prop_assert_eq!(message.header("X-Patience").map(str::to_owned), Some(patience.to_string()));
+        prop_assert_eq!(message.header("Rate-Step").map(str::to_owned), Some(rung.to_string()));
+        prop_assert_eq!(message.text(), Some(blob.as_str()));
     }
 
     #[test]
-    fn garbage_is_a_fault_or_waits_and_is_the_same_however_it_is_cut(
-        good in 0usize..2,
-        noise in prop::collection::vec(any::<u8>(), 0..600),
-        pieces in prop::collection::vec(1usize..50, 1..8),
+    fn garbage_decodes_the_same_however_it_is_split(
+        valid_messages in 0usize..2,
+        garbage in prop::collection::vec(any::<u8>(), 0..600),
+        piece_sizes in prop::collection::vec(1usize..50, 1..8),
     ) {
-        let mut bytes = if good == 1 { viewers::finish(tag(9), 16, None) } else { Vec::new() };
-        bytes.extend_from_slice(&noise);
-        prop_assert_eq!(decode_viewers(&bytes, &pieces), decode_viewers(&bytes, &[1]));
-        let mut bytes = if good == 1 { response(9, "x") } else { Vec::new() };
-        bytes.extend_from_slice(&noise);
-        prop_assert_eq!(decode_servers(&bytes, &pieces), decode_servers(&bytes, &[1]));
+        let mut bytes = if valid_messages == 1 { viewers::finish(tag(9), 16, None) } else { Vec::new() };
+        bytes.extend_from_slice(&garbage);
+        prop_assert_eq!(decode_viewers(&bytes, &piece_sizes), decode_viewers(&bytes, &[1]));
+        let mut bytes = if valid_messages == 1 { response(9, "x") } else { Vec::new() };
+        bytes.extend_from_slice(&garbage);
+        prop_assert_eq!(decode_servers(&bytes, &piece_sizes), decode_servers(&bytes, &[1]));
     }
 
     #[test]
-    fn a_message_with_bytes_changed_is_read_or_refused_never_more(
-        at in 0usize..120, byte in any::<u8>(), pieces in prop::collection::vec(1usize..50, 1..4),
+    fn a_message_with_a_changed_byte_is_one_message_at_most(
+        position in 0usize..120, byte in any::<u8>(), piece_sizes in prop::collection::vec(1usize..50, 1..4),
     ) {
         let mut bytes = response(9, "some description");
-        let at = at % bytes.len();
-        bytes[at] = byte;
-        let (messages, _) = decode_servers(&bytes, &pieces);
+        let position = position % bytes.len();
+        bytes[position] = byte;
+        let (messages, _) = decode_servers(&bytes, &piece_sizes);
         prop_assert!(messages.len() <= 1);
-        prop_assert!(messages.iter().all(|m| m.body.len() <= bytes.len()));
+        prop_assert!(messages.iter().all(|message| message.body.len() <= bytes.len()));
     }
 }
--- a/crates/node-protocol/tests/config.rs
+++ b/crates/node-protocol/tests/config.rs
@@ -1,8 +1,9 @@
-//! The configuration: the list at the start, and errors in one line.
+//! Parsing of the configuration: the list of servers at the start, and errors of one line.
 use crankpaddle_node_protocol::config::Config;
 use crankpaddle_node_protocol::directory::State;
 use serde_json::{json, Value};
 
+/// A complete configuration.
 fn complete() -> Value {
     let instance = |id: &str, state: &str| {
         json!({"instanceId": id, "hostPort": "127.0.0.9:3868", "zone": "east", "machineType": "std", "cell": 2,
@@ -26,22 +27,22 @@
 }
 
 #[test]
-fn the_known_events_make_the_list_of_the_start() {
-    let config = Config::parse(complete().to_string().as_bytes()).expect("sound");
+fn the_known_events_add_up_to_the_list_at_the_start() {
+    let config = Config::parse(complete().to_string().as_bytes()).expect("valid");
     assert_eq!(
         (config.name.as_str(), config.seed),
         ("n3", 0x8c1f_30d2_7a5b_e964)
     );
     assert_eq!((config.limits.memory_mb, config.limits.sockets), (32, 256));
-    let held: Vec<_> = config
+    let servers: Vec<_> = config
         .known
         .entries
         .iter()
-        .map(|e| (e.name.as_str(), e.state))
+        .map(|entry| (entry.name.as_str(), entry.state))
         .collect();
     assert_eq!(config.known.serial, 3);
     assert_eq!(
-        held,
+        servers,
         [
             ("s-00000001", State::Ready),
             ("s-00000002", State::Draining)
@@ -57,12 +58,14 @@
 fn errors_are_reported_in_one_line() {
     let without = |path: &[&str]| {
         let mut value = complete();
-        let (last, place) = path.split_last().expect("a path");
-        let inner = place.iter().fold(&mut value, |v, key| &mut v[*key]);
-        inner.as_object_mut().expect("an object").remove(*last);
+        let (field, parents) = path.split_last().expect("a path");
+        let parent = parents
+            .iter()
+            .fold(&mut value, |object, key| &mut object[*key]);
+        parent.as_object_mut().expect("an object").remove(*field);
         value
     };
-    for (value, what) in [
+    for (value, field) in [
         (without(&["listen"]), "listen"),
         (without(&["nameserver"]), "nameserver"),
         (without(&["settings", "rules"]), "rules"),
@@ -70,17 +73,20 @@
         (without(&["limits", "sockets"]), "sockets"),
     ] {
         let error = Config::parse(value.to_string().as_bytes())
-            .expect_err("incomplete")
+            .expect_err("a field is missing")
             .to_string();
-        assert!(error.contains(what) && !error.contains('\n'), "{error}");
+        assert!(error.contains(field) && !error.contains('\n'), "{error}");
     }
     let mut value = complete();
     value["seed"] = json!("not hex");
     assert!(Config::parse(value.to_string().as_bytes())
-        .expect_err("bad")
+        .expect_err("the seed is invalid")
         .to_string()
         .contains("seed"));
-    for broken in ["", "{", "[]", "null", "\u{0}"] {
-        assert!(Config::parse(broken.as_bytes()).is_err(), "{broken:?}");
+    for malformed in ["", "{", "[]", "null", "\u{0}"] {
+        assert!(
+            Config::parse(malformed.as_bytes()).is_err(),
+            "{malformed:?}"
+        );
     }
 }
--- a/crates/node-protocol/tests/wire_text.rs
+++ b/crates/node-protocol/tests/wire_text.rs
@@ -1,5 +1,5 @@
-//! Wire text: the exact bytes that the node writes to viewers, servers and the directory, and what each kind of message read from them
-//! decodes to. Names in the code may change; the literals here may not.
+//! The exact bytes that a front node sends to viewers, servers and the directory, and what each kind of message that they send
+//! decodes to. Names in the code may change, but the literals here may not, as they are the protocol.
 use crankpaddle_node_protocol::rtsp::{Figure, Kind};
 use crankpaddle_node_protocol::viewers::Message;
 use crankpaddle_node_protocol::{directory, rtsp, viewers, Tag};
@@ -57,12 +57,12 @@
         ("set-up without body", rtsp::set_up(&rtsp::SetUp {
             tag: tag(), title: "7f3a9c21e0b4d655", class: "paid", patience: 0, rung: 0, blob: "",
         }), "SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: 00000000000000aB\r\nSubject: paid\r\nX-Patience: 0\r\nRate-Step: 0\r\nContent-Length: 0\r\n\r\n"),
-        ("give-up", rtsp::cancel(tag()), "TEARDOWN rtsp://media/00000000000000aB RTSP/1.0\r\nCSeq: 2\r\nSession: 00000000000000aB\r\nContent-Length: 0\r\n\r\n"),
+        ("cancel", rtsp::cancel(tag()), "TEARDOWN rtsp://media/00000000000000aB RTSP/1.0\r\nCSeq: 2\r\nSession: 00000000000000aB\r\nContent-Length: 0\r\n\r\n"),
         ("release", rtsp::release(tag(), 16), "TEARDOWN rtsp://media/00000000000000aB RTSP/1.0\r\nCSeq: 2\r\nSession: 00000000000000aB\r\nReason: cause=16\r\nContent-Length: 0\r\n\r\n"),
-        ("rate", rtsp::set_rung(tag(), 2), "SET_PARAMETER rtsp://media/00000000000000aB RTSP/1.0\r\nCSeq: 4\r\nSession: 00000000000000aB\r\nRate-Step: 2\r\nContent-Length: 0\r\n\r\n"),
-        ("probe", rtsp::health_check(tag()), "OPTIONS rtsp://media/load RTSP/1.0\r\nCSeq: 3\r\nSession: 00000000000000aB\r\nContent-Length: 0\r\n\r\n"),
-        ("heard", rtsp::acknowledge(9, Some(tag())), "RTSP/1.0 200 OK\r\nCSeq: 9\r\nSession: 00000000000000aB\r\nContent-Length: 0\r\n\r\n"),
-        ("heard without session", rtsp::acknowledge(9, None), "RTSP/1.0 200 OK\r\nCSeq: 9\r\nContent-Length: 0\r\n\r\n"),
+        ("rung change", rtsp::set_rung(tag(), 2), "SET_PARAMETER rtsp://media/00000000000000aB RTSP/1.0\r\nCSeq: 4\r\nSession: 00000000000000aB\r\nRate-Step: 2\r\nContent-Length: 0\r\n\r\n"),
+        ("health check", rtsp::health_check(tag()), "OPTIONS rtsp://media/load RTSP/1.0\r\nCSeq: 3\r\nSession: 00000000000000aB\r\nContent-Length: 0\r\n\r\n"),
+        ("acknowledgement", rtsp::acknowledge(9, Some(tag())), "RTSP/1.0 200 OK\r\nCSeq: 9\r\nSession: 00000000000000aB\r\nContent-Length: 0\r\n\r\n"),
+        ("acknowledgement without session", rtsp::acknowledge(9, None), "RTSP/1.0 200 OK\r\nCSeq: 9\r\nContent-Length: 0\r\n\r\n"),
     ];
     for (name, bytes, expected) in table {
         assert_eq!(String::from_utf8(bytes).expect("text"), expected, "{name}");
@@ -71,7 +71,7 @@
 
 #[test]
 fn the_query_to_the_directory_has_these_bytes() {
-    let query = directory::query(0x1234).expect("written");
+    let query = directory::query(0x1234).expect("encodes");
     assert_eq!(
         query,
         b"\x12\x34\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x05_work\x04_tcp\x05fleet\x05local\x00\x00\x21\x00\x01"
@@ -79,8 +79,8 @@
     assert_eq!(directory::message_id(&query), Some(0x1234));
 }
 
-/// The one message that a viewer's line holds.
-fn from_viewer(line: &str) -> Message {
+/// Decodes a line of a viewer, which must hold exactly one message.
+fn decode_viewer_line(line: &str) -> Message {
     let (mut decoder, mut messages) = (viewers::Decoder::default(), Vec::new());
     decoder
         .feed(line.as_bytes(), &mut messages)
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn lines_of_viewers_decode_to_these_messages() {
+fn messages_of_viewers_decode_to_these_values() {
     let idle = |verb| {
         (
             format!(r#"{{"verb":"{verb}","tag":"00000000000000aB","rc":1}}"#),
@@ -115,20 +115,20 @@
         idle("ECHOED"),
     ];
     for (line, expected) in table {
-        assert_eq!(from_viewer(&format!("{line}\n")), expected, "{line}");
+        assert_eq!(decode_viewer_line(&format!("{line}\n")), expected, "{line}");
     }
 }
 
 #[test]
-fn a_viewers_start_decodes_to_these_fields() {
+fn a_start_message_decodes_to_these_fields() {
     let line = concat!(
         r#"{"verb":"START","tag":"00000000000000aB","blob":"v=0\r\n","opts":{"class":"paid","tenant":"t1","left":1500,"#,
         r#""retry":"1","hint":"2.5e3","key":"7f3a9c21e0b4d655","#,
         r#""extras":"home:4;copies:3;top:2;viewer:00000000b4d65521;again:0;moved:1;at:s-00c41f7a"}}"#,
         "\n"
     );
-    let Message::Start(start) = from_viewer(line) else {
-        panic!("no start")
+    let Message::Start(start) = decode_viewer_line(line) else {
+        panic!("not a START message")
     };
     assert_eq!((start.tag, start.blob.as_deref()), (tag(), Some("v=0\r\n")));
     assert_eq!(start.opts["left"], "1500");
@@ -165,8 +165,8 @@
     assert_eq!(params.current_server.as_deref(), Some("s-00c41f7a"));
 }
 
-/// The one message that a server's bytes hold.
-fn from_server(text: &str) -> rtsp::Message {
+/// Decodes the text of a server, which must hold exactly one message.
+fn decode_server_text(text: &str) -> rtsp::Message {
     let (mut decoder, mut messages) = (rtsp::Decoder::default(), Vec::new());
     decoder
         .feed(text.as_bytes(), &mut messages)
@@ -207,7 +207,7 @@
         ),
     ];
     for (text, kind, cseq) in table {
-        let message = from_server(&text);
+        let message = decode_server_text(&text);
         assert_eq!(
             (&message.kind, message.cseq, message.session),
             (&kind, Some(cseq), Some(tag())),
@@ -223,8 +223,8 @@
 }
 
 #[test]
-fn headers_and_body_of_a_servers_message_are_kept_as_they_came() {
-    let message = from_server(
+fn headers_and_body_of_a_servers_message_are_kept_unchanged() {
+    let message = decode_server_text(
         "TEARDOWN rtsp://media/x RTSP/1.0\r\nReason: cause=41\r\nX-State: x0:0.25;x1:-1\r\nX-Note: link_use\r\nFigure: 0.5\r\n\
          Content-Length: 3\r\n\r\nabc",
     );
