--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,43 +1,43 @@
-//! Bodies, read incrementally as they arrive.
+//! Decodes the bodies of messages incrementally as their bytes arrive.
 use crate::head::Framing;
 use crate::HttpError;
 
-/// Reads a body by its framing.
+/// Incrementally decodes a body according to its framing.
 #[derive(Clone, Debug)]
 pub struct Body {
     state: State,
-    /// Bytes that are allowed.
+    /// The longest allowed body.
     max_bytes: u64,
-    /// Bytes so far; only counted for framings that do not state the length up front.
+    /// Bytes of the body so far. Only counted if the framing does not state the length in advance.
     received_bytes: u64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
-    /// In a body of known length, of which so many bytes remain.
+    /// Within a body of known length; holds the number of remaining bytes.
     Length(u64),
-    /// In a body that ends with the connection.
+    /// Within a body that ends with the connection.
     UntilClose,
-    /// In the line with a chunk's size, of which these bytes were received.
+    /// Within the line with the size of a chunk; holds the bytes of the line so far.
     ChunkSize(Vec<u8>),
-    /// In a chunk of which so many bytes remain.
+    /// Within a chunk; holds the number of remaining bytes.
     Chunk(u64),
-    /// In the CRLF after a chunk, of which so many bytes were received.
+    /// Within the CRLF after a chunk; holds how many of its bytes were received.
     ChunkEnd(usize),
-    /// In a line after the last chunk, of which these bytes were received.
+    /// Within a trailer line after the last chunk; holds the bytes of the line so far.
     Trailer(Vec<u8>),
     /// The body is complete.
     Done,
 }
 
 const CRLF: &[u8] = b"\r\n";
-/// Longest line that holds a chunk's size or a trailer field, in bytes.
-pub const MAX_LINE_BYTES: usize = 1024;
-/// Most digits of a chunk's size: a number with more might not fit 64 bits.
-const MAX_SIZE_DIGITS: usize = 15;
+/// The longest line with a chunk's size or a trailer field, in bytes.
+pub const MAX_CHUNK_LINE_BYTES: usize = 1024;
+/// Most hexadecimal digits of a chunk's size; a number with more digits might not fit into 64 bits.
+const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
 impl Body {
-    /// A body of at most `max_bytes` bytes.
+    /// Starts decoding a body of at most `max_bytes` bytes.
     ///
     /// # Errors
     /// [`HttpError::BodyTooLarge`]: the stated length is larger.
@@ -58,33 +58,33 @@
         })
     }
 
-    /// Whether the body was read completely; never the case for a body until close.
+    /// Whether the body was decoded completely; never true for a body that ends with the connection.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Whether the body is complete if the connection ends now.
+    /// Whether the body is complete if the connection ends at this point.
     #[must_use]
     pub fn may_end_at_close(&self) -> bool {
         matches!(self.state, State::Done | State::UntilClose)
     }
 
-    /// Consumes bytes of `input` up to the body's end, appends the body's data to `data`, and returns how many bytes were
-    /// consumed.
+    /// Consumes bytes of `input` up to the end of the body and appends the decoded bytes to `data`. Returns how many bytes of
+    /// `input` were consumed.
     ///
     /// # Errors
     /// The body is malformed or larger than allowed.
     pub fn feed(&mut self, input: &[u8], data: &mut Vec<u8>) -> Result<usize, HttpError> {
         let mut consumed = 0;
         while consumed < input.len() && !self.is_complete() {
-            consumed += self.feed_part(&input[consumed..], data)?;
+            consumed += self.feed_in_state(&input[consumed..], data)?;
         }
         Ok(consumed)
     }
 
-    /// Consumes bytes within the current state; `input` is not empty.
-    fn feed_part(&mut self, input: &[u8], data: &mut Vec<u8>) -> Result<usize, HttpError> {
+    /// Consumes the bytes of `input`, at least one, that belong to the current state. `input` must not be empty.
+    fn feed_in_state(&mut self, input: &[u8], data: &mut Vec<u8>) -> Result<usize, HttpError> {
         match &mut self.state {
             State::Length(remaining) => {
                 let consumed = take_data(remaining, input, data);
@@ -133,6 +133,7 @@
         }
     }
 
+    /// Starts a chunk, or the trailer after a chunk of size zero.
     fn begin_chunk(&mut self, size: u64) -> Result<(), HttpError> {
         self.count_received(size)?;
         self.state = if size == 0 {
@@ -143,6 +144,7 @@
         Ok(())
     }
 
+    /// Counts bytes of a body whose length was not stated in advance, and checks the limit.
     fn count_received(&mut self, bytes: u64) -> Result<(), HttpError> {
         self.received_bytes = self.received_bytes.saturating_add(bytes);
         if self.received_bytes > self.max_bytes {
@@ -164,7 +166,7 @@
     count
 }
 
-/// Checks a byte of the CRLF after a chunk; true if that is complete.
+/// Checks the next byte of the CRLF after a chunk; returns whether the CRLF is complete.
 fn is_chunk_end_complete(received: &mut usize, byte: u8) -> Result<bool, HttpError> {
     if byte != CRLF[*received] {
         return Err(HttpError::ChunkEnd);
@@ -173,23 +175,23 @@
     Ok(*received == CRLF.len())
 }
 
-/// Appends a byte to a line; true if the line is complete.
+/// Appends a byte to a line; returns whether the line is complete.
 fn push_to_line(line: &mut Vec<u8>, byte: u8) -> Result<bool, HttpError> {
     line.push(byte);
-    if line.len() > MAX_LINE_BYTES {
+    if line.len() > MAX_CHUNK_LINE_BYTES {
         return Err(HttpError::ChunkLineTooLong);
     }
     Ok(line.ends_with(CRLF))
 }
 
-/// The size in a chunk's first line, which may also hold extensions.
+/// Parses the size in the first line of a chunk, which may also hold extensions.
 fn parse_chunk_size(line: &[u8]) -> Result<u64, HttpError> {
     let line = line.strip_suffix(CRLF).unwrap_or(line);
     let size = line.split(|byte| *byte == b';').next().unwrap_or(line);
     let digits = std::str::from_utf8(size).unwrap_or("").trim_end();
     // `from_str_radix` would accept a sign.
     let is_hexadecimal = digits.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if digits.is_empty() || digits.len() > MAX_SIZE_DIGITS || !is_hexadecimal {
+    if digits.is_empty() || digits.len() > MAX_CHUNK_SIZE_DIGITS || !is_hexadecimal {
         return Err(HttpError::ChunkSize);
     }
     u64::from_str_radix(digits, 16).map_err(|_| HttpError::ChunkSize)
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,4 +1,4 @@
-//! Why an HTTP message is rejected.
+//! Why an HTTP message is rejected. Clients get the texts of [`HttpError::detail`] in responses.
 use crate::head::{MAX_FIELDS, MAX_HEAD_BYTES};
 use crate::sse::MAX_EVENT_BYTES;
 use std::fmt;
@@ -16,24 +16,24 @@
     UnsupportedVersion,
     /// A field's value is not UTF-8.
     FieldNotUtf8,
-    /// The number of Host fields is not one.
+    /// There is more than one Host field, or none in a request of HTTP/1.1.
     HostField,
-    /// Fields contradict each other on the body's length.
+    /// Header fields contradict each other about the length of the body.
     ContradictoryFraming,
-    /// The content-length is not a number.
+    /// The value of content-length is not a number of at most 64 bits.
     ContentLength(String),
-    /// The transfer coding, or the list of them, is not supported.
+    /// The value of transfer-encoding is anything other than `chunked`.
     UnsupportedCoding(String),
     /// A chunk is not followed by CRLF.
     ChunkEnd,
-    /// A chunk's size is not a number.
+    /// The size of a chunk is not a hexadecimal number, or has too many digits.
     ChunkSize,
     /// A line that holds a chunk's size or a trailer field is longer than
-    /// [`crate::body::MAX_LINE_BYTES`].
+    /// [`crate::body::MAX_CHUNK_LINE_BYTES`].
     ChunkLineTooLong,
-    /// The body is longer than allowed.
+    /// The body is longer than the receiver allows.
     BodyTooLarge {
-        /// Bytes that are allowed.
+        /// The longest allowed body, in bytes.
         max: u64,
     },
     /// A server-sent event is longer than [`MAX_EVENT_BYTES`].
@@ -41,7 +41,7 @@
 }
 
 impl HttpError {
-    /// The status with which a server answers such a request.
+    /// The status with which a server responds to such a request.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What is wrong, without the status.
+    /// What is wrong with the message, without the status.
     #[must_use]
     pub fn detail(&self) -> String {
         match self {
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,24 +1,24 @@
-//! Heads of requests and responses, and the framing of the bodies that they announce.
+//! Heads of requests and responses, and the framing of the bodies that follow them.
 use crate::HttpError;
 use std::fmt::Write;
 
-/// Most fields of a head.
+/// The most header fields that a head may have.
 pub const MAX_FIELDS: usize = 64;
-/// Longest head in bytes.
+/// The longest head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Status: the request succeeded.
+/// The status of a request that succeeded.
 pub const OK: u16 = 200;
 const SWITCHING_PROTOCOLS: u16 = 101;
 const NO_CONTENT: u16 = 204;
 const NOT_MODIFIED: u16 = 304;
 
-/// Header fields in the order of the wire.
+/// Header fields, in the order received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields(Vec<(String, String)>);
 
 impl Fields {
-    /// The first value of a field; names are compared without case.
+    /// The first value of a header field, or `None`; names are compared without case.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         let field = self
@@ -28,7 +28,7 @@
         field.map(|(_, value)| value.as_str())
     }
 
-    /// Every value of a field.
+    /// All values of a header field, in the order received.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> + 'a {
         self.0
             .iter()
@@ -36,7 +36,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether a comma-separated field has this member, compared without case.
+    /// Whether the comma-separated list in a header field contains `token`, compared without case.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name)
@@ -44,6 +44,7 @@
             .any(|member| member.trim().eq_ignore_ascii_case(token))
     }
 
+    /// Copies the parsed headers; their values must be UTF-8.
     fn read(headers: &[httparse::Header<'_>]) -> Result<Fields, HttpError> {
         let mut fields = Vec::with_capacity(headers.len());
         for header in headers {
@@ -53,7 +54,7 @@
         Ok(Fields(fields))
     }
 
-    /// Whether a connection with a message of this minor version and these fields may carry another one.
+    /// Whether a connection may carry another message after one with this minor version of HTTP and these fields.
     fn keep_alive(&self, minor: u8) -> bool {
         if minor == 0 {
             self.has_token("connection", "keep-alive")
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The framing that the fields state; `None` where they state none.
+    /// The framing of the body that the fields state; `None` if they state none.
     fn framing(&self) -> Result<Option<Framing>, HttpError> {
         let mut lengths = self.all("content-length");
         let length = lengths.next();
@@ -78,6 +79,7 @@
     }
 }
 
+/// The framing for the values of transfer-encoding, of which only a single `chunked` is supported.
 fn parse_codings(codings: &[&str]) -> Result<Framing, HttpError> {
     match codings {
         [coding] if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
@@ -94,47 +96,47 @@
     }
 }
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its method.
+    /// The method, such as `GET`.
     pub method: String,
-    /// Its target as sent.
+    /// The request target, as received.
     pub target: String,
-    /// Minor version of HTTP: 0 or 1.
+    /// The minor version of HTTP/1: 0 or 1.
     pub minor: u8,
-    /// Its fields.
+    /// The header fields.
     pub fields: Fields,
 }
 
-/// A response's head.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Minor version of HTTP: 0 or 1.
+    /// The minor version of HTTP/1: 0 or 1.
     pub minor: u8,
-    /// Its fields.
+    /// The header fields.
     pub fields: Fields,
 }
 
 /// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length in bytes.
+    /// By the length, in bytes.
     Length(u64),
-    /// By its last chunk.
+    /// By the last chunk of a chunked body.
     Chunked,
     /// By the end of the connection.
     UntilClose,
 }
 
-/// The part of `buffer` that a head may use.
+/// The part of `buffer` in which a head has to end.
 fn head_bytes(buffer: &[u8]) -> &[u8] {
     &buffer[..buffer.len().min(MAX_HEAD_BYTES)]
 }
 
-/// The length of a parsed head; `None` where `buffer` does not hold a complete one.
+/// The length of a parsed head in bytes; `None` if `buffer` does not hold a complete head.
 fn head_length(parsed: httparse::Result<usize>, buffer: &[u8]) -> Result<Option<usize>, HttpError> {
     match parsed {
         Ok(httparse::Status::Complete(length)) => Ok(Some(length)),
@@ -149,10 +151,10 @@
 }
 
 impl Request {
-    /// The head at the start of `buffer` and its length; `None` while it is incomplete.
+    /// Parses the head at the start of `buffer`; returns it with its length in bytes, or `None` while it is incomplete.
     ///
     /// # Errors
-    /// It is malformed or too long.
+    /// The head is malformed or too long.
     pub fn parse(buffer: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut head = httparse::Request::new(&mut headers);
@@ -170,7 +172,7 @@
         Ok(Some((request, length)))
     }
 
-    /// RFC 9112, 3.2: exactly one Host field in HTTP/1.1, at most one in HTTP/1.0.
+    /// Checks the number of Host fields (RFC 9112, section 3.2): exactly one in HTTP/1.1, at most one in HTTP/1.0.
     fn check_host(&self) -> Result<(), HttpError> {
         let hosts = self.fields.all("host").count();
         if hosts > 1 || self.minor == 1 && hosts == 0 {
@@ -179,13 +181,14 @@
         Ok(())
     }
 
-    /// How its body is framed.
+    /// The framing of the request's body.
     ///
-    /// Why both fields together are rejected: where an intermediary takes one length and this reader the other, the
-    /// rest of the body is read as a second request that the intermediary never checked (RFC 9112, 6.3).
+    /// A request with both content-length and transfer-encoding is rejected. If an intermediary used one of them and this
+    /// parser the other, the rest of the body would be parsed as a second request that the intermediary never checked
+    /// (request smuggling; RFC 9112, section 6.3).
     ///
     /// # Errors
-    /// Fields that contradict each other or an unsupported coding.
+    /// The fields contradict each other, or the transfer coding is not supported.
     pub fn framing(&self) -> Result<Framing, HttpError> {
         Ok(self.fields.framing()?.unwrap_or(Framing::Length(0)))
     }
@@ -196,7 +199,7 @@
         self.fields.keep_alive(self.minor)
     }
 
-    /// The target's path and query.
+    /// The path and the query of the target; the query is empty if there is none.
     #[must_use]
     pub fn path(&self) -> (&str, &str) {
         self.target.split_once('?').unwrap_or((&self.target, ""))
@@ -204,10 +207,10 @@
 }
 
 impl Response {
-    /// The head at the start of `buffer` and its length; `None` while it is incomplete.
+    /// Parses the head at the start of `buffer`; returns it with its length in bytes, or `None` while it is incomplete.
     ///
     /// # Errors
-    /// It is malformed or too long.
+    /// The head is malformed or too long.
     pub fn parse(buffer: &[u8]) -> Result<Option<(Response, usize)>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut head = httparse::Response::new(&mut headers);
@@ -223,10 +226,10 @@
         Ok(Some((response, length)))
     }
 
-    /// How its body is framed, for a response to any method but HEAD.
+    /// The framing of the response's body, for a response to any method except HEAD.
     ///
     /// # Errors
-    /// Fields that contradict each other or an unsupported coding.
+    /// The fields contradict each other, or the transfer coding is not supported.
     pub fn framing(&self) -> Result<Framing, HttpError> {
         let is_interim = self.status < 200;
         if is_interim || self.status == NO_CONTENT || self.status == NOT_MODIFIED {
@@ -242,7 +245,7 @@
     }
 }
 
-/// The standard reason phrase of a status; empty for statuses that are not used here.
+/// The standard reason phrase of a status; empty for a status that this project does not send.
 #[must_use]
 pub(crate) fn reason_phrase(status: u16) -> &'static str {
     match status {
@@ -268,8 +271,8 @@
     }
 }
 
-/// The bytes of a message: its start line, fields, content-length if one is given, and body.
-fn message(
+/// Encodes a message with its start line, fields, content-length if one is given, and body.
+fn encode_message(
     start_line: &str,
     fields: &[(&str, &str)],
     content_length: Option<usize>,
@@ -288,16 +291,16 @@
     bytes
 }
 
-/// A complete response with the given fields; its content-length is stated unless its status allows no body.
+/// Encodes a complete response with the given fields. Its content-length is added unless its status allows no body.
 #[must_use]
 pub fn response(status: u16, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let start_line = format!("HTTP/1.1 {status} {}", reason_phrase(status));
     let has_length = status != SWITCHING_PROTOCOLS && status != NO_CONTENT;
     let content_length = has_length.then_some(body.len());
-    message(&start_line, fields, content_length, body)
+    encode_message(&start_line, fields, content_length, body)
 }
 
-/// A complete request with the given fields; its content-length is stated unless its body is empty.
+/// Encodes a complete request with the given fields. Its content-length is added unless its body is empty.
 #[must_use]
 pub fn request(
     method: &str,
@@ -310,7 +313,7 @@
     let mut all_fields = vec![("host", host)];
     all_fields.extend_from_slice(fields);
     let content_length = (!body.is_empty()).then_some(body.len());
-    message(&start_line, &all_fields, content_length, body)
+    encode_message(&start_line, &all_fields, content_length, body)
 }
 
 #[cfg(test)]
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,10 @@
-//! The HTTP that fronts, servers and players exchange, without I/O: bytes in; heads, bodies and events out.
+//! The parts of HTTP that fronts, servers and players use. Nothing here does I/O: bytes are parsed to heads, bodies and events,
+//! and messages are encoded to bytes.
 //!
-//! - [`head`]: request and response heads of HTTP/1.1 (RFC 9112) on httparse, and how their bodies are framed;
-//! - [`body`]: bodies by length, chunked or until close;
-//! - [`sse`]: server-sent events, read and written;
-//! - [`orca`]: load reports in responses;
+//! - [`head`]: request and response heads of HTTP/1.1 (RFC 9112), parsed by httparse, and how their bodies are framed;
+//! - [`body`]: bodies with a length, chunked, or that last until the connection ends;
+//! - [`sse`]: decoding and encoding of server-sent events;
+//! - [`orca`]: load reports in response headers;
 //! - [`problem`]: errors as problem details (RFC 9457);
 //! - [`error`]: why a message is rejected.
 #![forbid(unsafe_code)]
--- a/crates/http/src/orca.rs
+++ b/crates/http/src/orca.rs
@@ -1,45 +1,47 @@
-//! Load reports in responses: the `endpoint-load-metrics` field of Open Request Cost Aggregation, in its text and JSON
-//! forms. Names are those of the OrcaLoadReport message; application metrics stand under `named_metrics`.
+//! Load reports in responses: the `endpoint-load-metrics` header field of Open Request Cost Aggregation (ORCA), in its text
+//! and JSON formats. The names of metrics are those of the OrcaLoadReport message; application metrics are below
+//! `named_metrics`.
 use serde_json::Value;
 
-/// The field's name.
+/// The name of the header field.
 pub const FIELD: &str = "endpoint-load-metrics";
 
-/// Why a load report could not be read.
+/// Why a load report could not be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadReportError {
-    /// The form is neither TEXT nor JSON.
-    #[error("load report in form {0:?}; known: TEXT, JSON")]
-    UnknownForm(String),
-    /// The JSON form is malformed.
-    #[error("load report: {0}")]
+    /// The format is neither TEXT nor JSON.
+    #[error("load report in unknown format {0:?}; allowed: TEXT, JSON")]
+    UnknownFormat(String),
+    /// The report in JSON is malformed.
+    #[error("malformed load report: {0}")]
     Json(#[from] serde_json::Error),
-    /// A metric of the text form has no value.
-    #[error("load report: {0:?} has no value")]
+    /// A metric in the text format has no value.
+    #[error("malformed load report: metric {0:?} has no value")]
     MissingValue(String),
-    /// A metric's value is not a finite number.
-    #[error("load report: {0:?} is no number")]
-    NotANumber(String),
+    /// The value of a metric is not a finite number.
+    #[error("malformed load report: value {0:?} is not a finite number")]
+    NotFinite(String),
 }
 
-/// The metrics of a report by name; nested ones as `named_metrics.link_asked`.
+/// Parses a report to the names and values of its metrics. The name of a nested metric is its path, such as
+/// `named_metrics.link_asked`.
 ///
 /// # Errors
-/// The form is unknown or malformed.
+/// The format is unknown, or the report is malformed.
 pub fn parse(value: &str) -> Result<Vec<(String, f64)>, LoadReportError> {
     let value = value.trim();
-    let (form, report) = value.split_once(' ').unwrap_or((value, ""));
-    match form {
+    let (format, report) = value.split_once(' ').unwrap_or((value, ""));
+    match format {
         "TEXT" => parse_text(report),
         "JSON" => parse_json(report),
-        other => Err(LoadReportError::UnknownForm(other.to_owned())),
+        other => Err(LoadReportError::UnknownFormat(other.to_owned())),
     }
 }
 
 fn parse_text(report: &str) -> Result<Vec<(String, f64)>, LoadReportError> {
     let metrics = report.split(',').map(str::trim);
-    let stated = metrics.filter(|metric| !metric.is_empty());
-    stated.map(parse_metric).collect()
+    let non_empty = metrics.filter(|metric| !metric.is_empty());
+    non_empty.map(parse_metric).collect()
 }
 
 fn parse_json(report: &str) -> Result<Vec<(String, f64)>, LoadReportError> {
@@ -49,17 +51,18 @@
     Ok(metrics)
 }
 
+/// Parses a metric of the text format: `name=value` or `name:value`.
 fn parse_metric(text: &str) -> Result<(String, f64), LoadReportError> {
     let Some((name, value)) = text.split_once(['=', ':']) else {
         return Err(LoadReportError::MissingValue(text.to_owned()));
     };
     match value.trim().parse::<f64>() {
         Ok(number) if number.is_finite() => Ok((name.trim().to_owned(), number)),
-        _ => Err(LoadReportError::NotANumber(value.to_owned())),
+        _ => Err(LoadReportError::NotFinite(value.to_owned())),
     }
 }
 
-/// Appends the numbers in `value`, named by their path.
+/// Appends the numbers in `value` to `metrics`, each named by its path.
 fn flatten(path: &str, value: &Value, metrics: &mut Vec<(String, f64)>) {
     let Value::Object(fields) = value else {
         if let Some(number) = value.as_f64() {
@@ -77,7 +80,7 @@
     }
 }
 
-/// A report in text form.
+/// Encodes a report in the text format, with four decimal places per value.
 #[must_use]
 pub fn write(metrics: &[(&str, f64)]) -> String {
     let pairs: Vec<String> = metrics
--- a/crates/http/src/orca/tests.rs
+++ b/crates/http/src/orca/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn both_forms_hold_the_same_metrics() {
+fn text_and_json_reports_are_parsed_to_the_same_metrics() {
     let text = parse("TEXT cpu_utilization=0.3, named_metrics.link_asked=1.25").unwrap();
     let json = parse(r#"JSON {"cpu_utilization":0.3,"named_metrics":{"link_asked":1.25},"x":"y"}"#)
         .unwrap();
--- a/crates/http/src/problem.rs
+++ b/crates/http/src/problem.rs
@@ -11,7 +11,7 @@
 #[schemars(deny_unknown_fields)]
 pub struct Problem {
     /// What kind it is, a URI; "about:blank" says no more than the status.
-    #[serde(rename = "type", default = "blank")]
+    #[serde(rename = "type", default = "about_blank")]
     pub kind: String,
     /// The kind in words.
     #[serde(default)]
@@ -27,17 +27,17 @@
     pub retry_after_ms: Option<u64>,
 }
 
-/// The type of a problem that says no more than its status.
-fn blank() -> String {
+/// The type of a problem that has no meaning beyond its status (RFC 9457).
+fn about_blank() -> String {
     "about:blank".into()
 }
 
 impl Problem {
-    /// A problem without a type of its own: its title is the status's reason phrase.
+    /// A problem of type `about:blank`, with the reason phrase of the status as its title.
     #[must_use]
     pub fn new(status: u16, detail: impl Into<String>) -> Problem {
         Problem {
-            kind: blank(),
+            kind: about_blank(),
             title: head::reason_phrase(status).to_owned(),
             status,
             detail: detail.into(),
@@ -45,7 +45,8 @@
         }
     }
 
-    /// The complete response, with `fields` in addition to its own; Retry-After is rounded up to seconds.
+    /// Encodes a complete response with the problem as its body. `fields` are added to the response's own header fields.
+    /// Retry-After is rounded up to seconds.
     #[must_use]
     pub fn response(&self, fields: &[(&str, &str)]) -> Vec<u8> {
         let body = serde_json::to_vec(self).unwrap_or_default();
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,18 +1,18 @@
-//! Server-sent events as the HTML standard specifies them: read incrementally, written complete.
+//! Server-sent events as specified by the HTML standard: an incremental decoder of streams, and an encoder of single events.
 use crate::HttpError;
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// Its type; empty stands for "message".
+    /// The event's type; empty stands for `message`.
     pub name: String,
-    /// Its data, lines joined by newlines.
+    /// The event's data; several lines are joined by newlines.
     pub data: String,
-    /// The last id of the stream so far, with which a client resumes the stream.
+    /// The last event id of the stream so far, with which a client can resume the stream; empty if there was none.
     pub id: String,
 }
 
-/// Largest event in bytes: a server that never ends a line must not fill the memory.
+/// The largest event in bytes, so that a server that never ends an event can't fill the memory.
 pub const MAX_EVENT_BYTES: usize = 4 << 20;
 
 /// The comment that a server sends to show that the stream is alive.
@@ -20,23 +20,23 @@
 
 const BYTE_ORDER_MARK: char = '\u{feff}';
 
-/// Reads a stream.
+/// Incrementally decodes a stream of server-sent events.
 #[derive(Clone, Debug, Default)]
-pub struct Reader {
+pub struct EventDecoder {
     /// The current line so far.
     line: Vec<u8>,
-    /// Whether the last byte was a carriage return: a newline that follows belongs to the same line end.
+    /// Whether the last byte was a carriage return; a newline that follows belongs to the same line break.
     after_carriage_return: bool,
-    /// Whether the first line was read: only that may begin with a byte order mark.
-    first_line_read: bool,
-    /// The current event so far, its data with a newline after each line.
+    /// Whether the first line was handled; only that line may start with a byte order mark.
+    is_past_first_line: bool,
+    /// The current event so far; its data has a newline after each line.
     event: Event,
-    /// Bytes of the current event, without comments.
+    /// Bytes of the current event so far, without comments and line breaks.
     event_bytes: usize,
 }
 
-impl Reader {
-    /// Consumes bytes and appends the completed events to `events`.
+impl EventDecoder {
+    /// Takes the next bytes of the stream and appends the events that they complete to `events`.
     ///
     /// # Errors
     /// [`HttpError::EventTooLarge`]: an event is larger than [`MAX_EVENT_BYTES`].
@@ -81,21 +81,21 @@
                 self.event.data.push('\n');
             }
             "id" if !value.contains('\0') => self.event.id = value.to_owned(),
-            // A comment, as heartbeats are.
+            // A comment, such as a heartbeat; it does not count towards the size of the event.
             "" => self.event_bytes = self.event_bytes.saturating_sub(line.len()),
             _ => {}
         }
     }
 
     fn strip_byte_order_mark<'a>(&mut self, line: &'a str) -> &'a str {
-        if self.first_line_read {
+        if self.is_past_first_line {
             return line;
         }
-        self.first_line_read = true;
+        self.is_past_first_line = true;
         line.strip_prefix(BYTE_ORDER_MARK).unwrap_or(line)
     }
 
-    /// Ends the current event; one without data is dropped. Its id stays that of the stream.
+    /// Ends the current event and appends it to `events`, unless it has no data. Its id is kept for the events that follow.
     fn complete_event(&mut self, events: &mut Vec<Event>) {
         self.event_bytes = 0;
         let name = std::mem::take(&mut self.event.name);
@@ -110,7 +110,7 @@
     }
 }
 
-/// The bytes of an event; an empty type or id is left out.
+/// Encodes an event; an empty type or id is left out.
 #[must_use]
 pub fn write(name: &str, id: &str, data: &str) -> Vec<u8> {
     let mut text = String::with_capacity(data.len() + name.len() + 32);
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::Socket;
 use crankpaddle_http::body::Body;
 use crankpaddle_http::head::{Framing, Request, Response};
-use crankpaddle_http::sse::{Event, Reader};
+use crankpaddle_http::sse::{Event, EventDecoder};
 use crankpaddle_http::HttpError;
 use crankpaddle_time::Time;
 use std::sync::Arc;
@@ -203,7 +203,7 @@
         Ok(Events {
             exchange: self,
             body,
-            reader: Reader::default(),
+            decoder: EventDecoder::default(),
             decoded: Vec::new().into_iter(),
             max_silence,
         })
@@ -214,7 +214,7 @@
 pub struct Events {
     exchange: HttpExchange,
     body: Body,
-    reader: Reader,
+    decoder: EventDecoder,
     /// Events that were received and not returned yet.
     decoded: std::vec::IntoIter<Event>,
     /// Longest time without a received byte.
@@ -236,7 +236,7 @@
             let mut events = Vec::new();
             let taken = self.body.feed(&self.exchange.buffer, &mut data)?;
             self.exchange.buffer.drain(..taken);
-            self.reader.feed(&data, &mut events)?;
+            self.decoder.feed(&data, &mut events)?;
             self.decoded = events.into_iter();
             if self.decoded.len() == 0 {
                 if self.body.is_complete() {
--- a/crates/server-protocol/src/event_stream.rs
+++ b/crates/server-protocol/src/event_stream.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Event types on the wire.
+/// Event types, as on the wire.
 mod event_type {
     pub(super) const STREAM_START: &str = "hello";
     pub(super) const SESSION_UPDATE: &str = "note";
@@ -14,39 +14,40 @@
     pub(super) const TRAFFIC: &str = "traffic";
 }
 
-/// The first event of a stream: the server's incarnation and which of the front's sessions it holds.
+/// The first event of a stream, with the server's incarnation and the front's sessions that it holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StreamStart {
-    /// The server's incarnation: differs with every start of the server.
+    /// The server's incarnation, which changes with every start of the server.
     pub boot: String,
-    /// The front's sessions that it holds.
+    /// The names of the front's sessions that the server holds.
     pub sessions: Vec<String>,
-    /// Age of this incarnation in milliseconds, if the server states it: an age, so that no two clocks are compared.
+    /// The age of this incarnation in milliseconds, if the server states it. It is an age instead of a start time so that no
+    /// clocks of two machines are compared.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub age_ms: Option<u64>,
 }
 
-/// An update on a session; each figure is present only if the server reports it.
+/// An update on a session. A figure that the server does not report is `None`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SessionUpdateMessage {
     /// The session's name.
     pub session: String,
-    /// Delivered rate over the wanted rate.
+    /// The delivered rate divided by the wanted rate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delivered: Option<f64>,
-    /// Demand on the server's link over its capacity.
+    /// The demand on the server's link divided by the link's capacity.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub link: Option<f64>,
-    /// Demand on the rack's uplink over its capacity.
+    /// The demand on the rack's uplink divided by the uplink's capacity.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub uplink: Option<f64>,
-    /// The rung in force.
+    /// The current rung of the session.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rung: Option<u8>,
 }
 
 impl SessionUpdateMessage {
-    /// The reported figures, in the order in which the front handles them.
+    /// The reported figures, in the order in which they apply.
     fn updates(&self) -> Vec<SessionUpdate> {
         let updates = [
             self.link.map(SessionUpdate::LinkDemand),
@@ -58,19 +59,20 @@
     }
 }
 
-/// A session that has ended.
+/// Reports that a session has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionOver {
     /// The session's name.
     pub session: String,
-    /// Whether it ran to its end; otherwise it was reset.
+    /// Whether the session played to its end; if false, it was reset.
     pub finished: bool,
-    /// Media bytes that the server sent for it in total, if the server counts them.
+    /// The total number of media bytes that the server sent for the session, if the server counts them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sent_bytes: Option<u64>,
 }
 
 impl SessionOver {
+    /// The outcome of the attempt that the event stands for.
     fn outcome(&self) -> AttemptOutcome {
         if self.finished {
             AttemptOutcome::Completed
@@ -80,29 +82,29 @@
     }
 }
 
-/// A server's rate to one zone, for sessions of all fronts.
+/// The rate that a server sends to viewers of one zone and class, for the sessions of all fronts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CrossZoneRate {
-    /// The viewers' zone.
+    /// The name of the viewers' zone.
     pub to: String,
-    /// Class by name.
+    /// The name of the class.
     pub class: String,
-    /// Bytes a second at the rungs in force.
+    /// The rate in bytes per second at the current rungs.
     pub rate: f64,
 }
 
 /// A server's traffic counters.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TrafficCounts {
-    /// The front's sessions, and the media bytes sent for each so far.
+    /// The names of the front's sessions, each with the number of media bytes sent for it so far.
     #[serde(default)]
     pub sent: Vec<(String, u64)>,
-    /// Rates to zones other than the server's own; a zone and class without an entry has none.
+    /// The rates to zones other than the server's own. The rate of a zone and class without an entry is zero.
     #[serde(default)]
     pub crossing: Vec<CrossZoneRate>,
 }
 
-/// An event on a server's stream.
+/// A parsed event of a server's event stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerEvent {
     /// The first event of the stream.
@@ -118,9 +120,9 @@
     SessionOver {
         /// The session's name.
         session: String,
-        /// How it ended.
+        /// How the session ended.
         outcome: AttemptOutcome,
-        /// Media bytes sent for it in total, if the server counts them.
+        /// The total number of media bytes sent for the session, if the server counts them.
         sent_bytes: Option<u64>,
     },
     /// Traffic counters.
@@ -146,7 +148,7 @@
     }
 }
 
-/// A request for the event stream of one front's sessions.
+/// The request for the event stream on one front's sessions.
 #[must_use]
 pub fn subscribe(host: &str, front: &str) -> Vec<u8> {
     let target = format!("/events?front={front}");
@@ -154,10 +156,10 @@
     head::request("GET", &target, host, &fields, b"")
 }
 
-/// Reads an event; `None` for an unknown type, as later servers may send.
+/// Parses an event; `None` if its type is unknown, because later versions of servers may send other types.
 ///
 /// # Errors
-/// [`ProtocolError::ServerEvent`]: its data is malformed.
+/// [`ProtocolError::ServerEvent`]: the data of the event is malformed.
 pub fn read(event: &Event) -> Result<Option<ServerEvent>, ProtocolError> {
     let server_event = match event.name.as_str() {
         event_type::STREAM_START => ServerEvent::StreamStart(read_data(event)?),
@@ -169,6 +171,7 @@
     Ok(Some(server_event))
 }
 
+/// Parses the JSON data of an event.
 fn read_data<T: DeserializeOwned>(event: &Event) -> Result<T, ProtocolError> {
     serde_json::from_str(&event.data).map_err(|source| ProtocolError::ServerEvent {
         event: event.name.clone(),
@@ -176,7 +179,7 @@
     })
 }
 
-/// The bytes of an event of the given type.
+/// Encodes an event; `name` is its type.
 #[must_use]
 pub fn write(name: &str, data: &impl Serialize) -> Vec<u8> {
     sse::write(name, "", &serde_json::to_string(data).unwrap_or_default())
--- a/crates/server-protocol/src/lib.rs
+++ b/crates/server-protocol/src/lib.rs
@@ -1,12 +1,12 @@
-//! The protocol between a front and the media servers and list service, over HTTP/1.1, without I/O.
+//! The HTTP/1.1 protocol of a front with the media servers and the list service. Nothing here does I/O.
 //!
-//! - [`sessions`]: set-up, rung change and teardown of a session, and which outcome each response proves;
-//! - [`session_inventory`]: which sessions a server holds for a front, and which it has run;
+//! - [`sessions`]: set-up, rung change and teardown of a session, and the outcome that each response stands for;
+//! - [`session_inventory`]: which sessions a server holds for a front, and which paid sessions it has run;
 //! - [`event_stream`]: the event stream on which a server reports on a front's sessions;
-//! - [`list`]: the endpoint list, in full and as deltas, and its form on disk;
-//! - [`error`]: why a message could not be read.
+//! - [`list`]: the endpoint list, in full and as deltas, and the copy of it that a front keeps on disk;
+//! - [`error`]: why a message could not be parsed.
 //!
-//! `docs/server-protocol.md` describes it for those who build servers.
+//! `docs/server-protocol.md` describes the protocol for implementers of servers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 pub mod error;
--- a/crates/server-protocol/src/list.rs
+++ b/crates/server-protocol/src/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the servers that the list service knows.
+//! The endpoint list: the servers that the list service knows, as a stream of a full list and deltas.
 use crate::ProtocolError;
 use crankpaddle_front::{Endpoint, EndpointListKind, Lifecycle, ServerId, Time};
 use crankpaddle_http::head;
@@ -9,46 +9,46 @@
 
 /// Event type of a full list.
 const FULL_EVENT: &str = "full";
-/// Event type of a list that holds only what changed.
+/// Event type of a delta, which holds only the entries that changed.
 const DELTA_EVENT: &str = "delta";
 
-/// State of a server on the wire.
+/// The state of a server, as on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// Takes sessions.
+    /// The server accepts new sessions.
     Ready,
-    /// Completes its sessions and takes no new ones.
+    /// The server completes its sessions and accepts no new ones.
     Draining,
-    /// Removed; appears in deltas only.
+    /// The server was removed. Occurs in deltas only.
     Gone,
 }
 
-/// One server.
+/// A server in an endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Its number, the same at every front and over its restarts.
+    /// The server's id, which is the same at every front and over restarts of the server.
     pub id: u32,
-    /// Zone by name.
+    /// The name of the server's zone.
     pub zone: String,
-    /// Kind by name.
+    /// The name of the server's kind.
     pub kind: String,
-    /// Its cell.
+    /// The number of the server's cell.
     pub cell: u16,
-    /// Its state.
+    /// Whether the server is ready, draining or removed.
     pub state: EndpointState,
-    /// Its size relative to other servers.
+    /// The server's capacity relative to other servers.
     pub weight: f64,
-    /// Its last start in milliseconds of Unix time; 0: long ago.
+    /// When the server last started, in milliseconds of Unix time; 0 if it started long ago.
     #[serde(default)]
     pub started_ms: u64,
-    /// Address for set-ups and media.
+    /// The address for set-ups and media.
     pub address: SocketAddr,
 }
 
 impl EndpointEntry {
-    /// The entry in the core's terms, with zone and kind as indices into the given names; `None` where a name is
-    /// unknown here.
+    /// Converts the entry to the type of the decision core, with zone and kind as indices into the given names. `None` if its
+    /// zone or kind is not among these names.
     #[must_use]
     pub fn to_endpoint(&self, zones: &[String], kinds: &[String]) -> Option<Endpoint> {
         let index = |names: &[String], name: &str| names.iter().position(|known| known == name);
@@ -72,13 +72,13 @@
 /// An endpoint list, full or a delta.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointListBody {
-    /// Its version; rises with every change.
+    /// The version of the list, which increases with every change.
     pub serial: u64,
-    /// Its entries.
+    /// All servers, or in a delta those that changed.
     pub servers: Vec<EndpointEntry>,
 }
 
-/// A front's request for the list stream: one full list, then deltas.
+/// The request with which a front subscribes to the endpoint list: a stream of one full list, then deltas.
 #[must_use]
 pub fn subscribe(host: &str, front: &str) -> Vec<u8> {
     let target = format!("/servers/events?front={front}");
@@ -86,10 +86,10 @@
     head::request("GET", &target, host, &fields, b"")
 }
 
-/// Reads an event of the stream; `None` for an unknown type.
+/// Parses an event of the stream; `None` if its type is unknown.
 ///
 /// # Errors
-/// [`ProtocolError::EndpointList`]: its data is malformed.
+/// [`ProtocolError::EndpointList`]: the data of the event is malformed.
 pub fn read(event: &Event) -> Result<Option<(EndpointListKind, EndpointListBody)>, ProtocolError> {
     let kind = match event.name.as_str() {
         FULL_EVENT => EndpointListKind::Full,
@@ -100,7 +100,7 @@
     Ok(Some((kind, list)))
 }
 
-/// The bytes of an event.
+/// Encodes an event of the stream.
 #[must_use]
 pub fn write(kind: EndpointListKind, list: &EndpointListBody) -> Vec<u8> {
     let name = if kind == EndpointListKind::Delta {
@@ -115,36 +115,36 @@
     )
 }
 
-/// A front's copy of the endpoint list: deltas applied, so that the full list can be persisted and addresses looked up.
+/// A front's copy of the endpoint list, to which deltas are applied. It is persisted, and used to look up addresses.
 #[derive(Clone, Debug, Default)]
 pub struct CachedEndpoints {
     list: EndpointListBody,
 }
 
 impl CachedEndpoints {
-    /// Reads what [`CachedEndpoints::text`] wrote.
+    /// Parses the text that [`CachedEndpoints::text`] returned.
     ///
     /// # Errors
-    /// [`ProtocolError::CachedEndpoints`]: it is malformed.
+    /// [`ProtocolError::CachedEndpoints`]: the text is malformed.
     pub fn from_text(text: &str) -> Result<CachedEndpoints, ProtocolError> {
         let list = serde_json::from_str(text).map_err(ProtocolError::CachedEndpoints)?;
         Ok(CachedEndpoints { list })
     }
 
-    /// The full list as it is now, as JSON.
+    /// The current full list as JSON.
     #[must_use]
     pub fn text(&self) -> String {
         serde_json::to_string(&self.list).unwrap_or_default()
     }
 
-    /// Whether it holds no server.
+    /// Whether the list holds no server.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.list.servers.is_empty()
     }
 
-    /// Applies a received list; true if it was applied. A delta whose version is not newer than the cached one is
-    /// stale and dropped.
+    /// Applies a received list; returns whether it was applied. A delta is dropped as stale unless its version is newer than
+    /// the cached one.
     pub fn apply(&mut self, kind: EndpointListKind, list: &EndpointListBody) -> bool {
         if kind != EndpointListKind::Delta {
             self.list = list.clone();
@@ -160,7 +160,7 @@
         true
     }
 
-    /// Replaces the entry with the same id, or removes it where the server is gone.
+    /// Replaces the entry with the same id, or removes it if the server was removed.
     fn replace(&mut self, entry: &EndpointEntry) {
         self.list.servers.retain(|cached| cached.id != entry.id);
         if entry.state != EndpointState::Gone {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The cached servers.
+    /// The servers in the current list.
     #[must_use]
     pub fn servers(&self) -> &[EndpointEntry] {
         &self.list.servers
--- a/crates/server-protocol/src/list/tests.rs
+++ b/crates/server-protocol/src/list/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn ids(cached: &CachedEndpoints) -> Vec<u32> {
-    cached.servers().iter().map(|e| e.id).collect()
+    cached.servers().iter().map(|entry| entry.id).collect()
 }
 
 #[test]
@@ -47,31 +47,31 @@
         &list(4, vec![entry(2, EndpointState::Gone)])
     ));
     assert_eq!(ids(&cached), [2, 3]);
-    let again = CachedEndpoints::from_text(&cached.text()).unwrap();
-    assert_eq!(again.servers(), cached.servers());
+    let restored = CachedEndpoints::from_text(&cached.text()).unwrap();
+    assert_eq!(restored.servers(), cached.servers());
     assert!(CachedEndpoints::from_text("{").is_err());
 }
 
 #[test]
-fn written_lists_are_read_back_and_unknown_names_are_rejected() {
+fn encoded_lists_are_parsed_back_and_unknown_names_are_rejected() {
     let list = EndpointListBody {
         serial: 9,
         servers: vec![entry(4, EndpointState::Draining)],
     };
     let mut events = Vec::new();
-    sse::Reader::default()
+    sse::EventDecoder::default()
         .feed(&write(EndpointListKind::Delta, &list), &mut events)
         .unwrap();
     assert_eq!(
         read(&events[0]).unwrap(),
         Some((EndpointListKind::Delta, list.clone()))
     );
-    let names = |n: &str| vec![n.to_owned()];
-    let known = list.servers[0]
+    let names = |name: &str| vec![name.to_owned()];
+    let endpoint = list.servers[0]
         .to_endpoint(&names("n"), &names("std"))
         .unwrap();
     assert_eq!(
-        (known.lifecycle, known.started_at),
+        (endpoint.lifecycle, endpoint.started_at),
         (Lifecycle::Draining, Time(5_000_000))
     );
     assert!(list.servers[0]
--- a/crates/server-protocol/src/session_inventory.rs
+++ b/crates/server-protocol/src/session_inventory.rs
@@ -1,4 +1,4 @@
-//! A server's inventory of one front's sessions: which it holds, and which paid ones it has run.
+//! A server's inventory of one front's sessions: those that it holds, and the paid ones that it has run.
 use crate::ProtocolError;
 use crankpaddle_http::head;
 use crankpaddle_recovery::{reconciliation, Key};
@@ -9,16 +9,16 @@
 pub struct InventorySession {
     /// The session's name.
     pub session: String,
-    /// Its billing key.
+    /// The billing key of the session.
     pub bill: String,
-    /// Tenant by name; empty where there are none.
+    /// The name of the tenant; empty if the fleet has no tenants.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub tenant: String,
-    /// Class by name.
+    /// The name of the class.
     pub class: String,
-    /// Title by name.
+    /// The name of the title.
     pub title: String,
-    /// The rung in force.
+    /// The current rung.
     pub rung: u8,
 }
 
@@ -37,12 +37,12 @@
     }
 }
 
-/// A paid session that has run, whether the server still holds it or not.
+/// A paid session that the server has run, whether it still holds the session or not.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompletedSession {
-    /// Its billing key.
+    /// The billing key of the session.
     pub bill: String,
-    /// Tenant by name; empty where there are none.
+    /// The name of the tenant; empty if the fleet has no tenants.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub tenant: String,
 }
@@ -56,26 +56,27 @@
     }
 }
 
-/// The inventory.
+/// A server's inventory of one front's sessions. `docs/server-protocol.md` describes its fields under their names on the wire.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SessionInventory {
-    /// Incarnations of the server that the inventory covers without a gap, the current one last.
+    /// The incarnations of the server that the inventory covers without a gap; the current one is the last.
     pub boots: Vec<String>,
-    /// Age of the current incarnation in milliseconds: an age, so that no two clocks are compared.
+    /// The age of the current incarnation in milliseconds. It is an age instead of a start time so that no clocks of two
+    /// machines are compared.
     pub age_ms: u64,
-    /// The front's sessions that it holds. (`held` in docs/server-protocol.md.)
+    /// The front's sessions that the server holds (`held` on the wire).
     #[serde(default, rename = "held")]
     pub sessions: Vec<InventorySession>,
-    /// Names of the front's set-ups in progress. (`under_way` in docs/server-protocol.md.)
+    /// The session names of the front's set-ups in progress (`under_way` on the wire).
     #[serde(default, rename = "under_way")]
     pub in_progress: Vec<String>,
-    /// The front's paid sessions that have run. (`ran` in docs/server-protocol.md.)
+    /// The front's paid sessions that the server has run (`ran` on the wire).
     #[serde(default, rename = "ran")]
     pub completed: Vec<CompletedSession>,
 }
 
 impl SessionInventory {
-    /// The inventory in the terms of recovery.
+    /// Converts the inventory to the type that recovery uses.
     #[must_use]
     pub fn into_recovery(self) -> reconciliation::SessionInventory {
         reconciliation::SessionInventory {
@@ -87,17 +88,17 @@
     }
 }
 
-/// A request for a server's inventory of a front.
+/// The request for a server's inventory of one front's sessions.
 #[must_use]
 pub fn request(host: &str, front: &str) -> Vec<u8> {
     let target = format!("/sessions?front={front}");
     head::request("GET", &target, host, &[("accept", "application/json")], b"")
 }
 
-/// Reads the body of the response.
+/// Parses the body of the response.
 ///
 /// # Errors
-/// [`ProtocolError::SessionInventory`]: it is malformed.
+/// [`ProtocolError::SessionInventory`]: the body is malformed.
 pub fn read(body: &[u8]) -> Result<SessionInventory, ProtocolError> {
     serde_json::from_slice(body).map_err(ProtocolError::SessionInventory)
 }
--- a/crates/server-protocol/src/sessions.rs
+++ b/crates/server-protocol/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Set-up, rung change and teardown of a session at a server.
+//! Requests for the set-up, rung change and teardown of a session at a server, and their responses.
 use crankpaddle::LoadField;
 use crankpaddle_front::{AttemptOutcome, LoadReport, SetUpResult};
 use crankpaddle_http::head::{self, Response};
@@ -8,64 +8,64 @@
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 
-/// Problem type with which a server rejects a set-up before it starts any work on it.
+/// The problem type with which a server rejects a set-up for lack of capacity, before it starts any work on it.
 ///
-/// Why: only this type proves that the set-up never ran. A plain 503 may come from an intermediary after the server
-/// has run it.
+/// Only this type proves that the set-up never ran. A plain 503 may come from an intermediary after the server has run
+/// the set-up.
 pub const FULL: &str = "urn:crankpaddle:problem:full";
 
-/// Header field for a JSON body.
-const JSON: (&str, &str) = ("content-type", "application/json");
+/// Header field of requests with a JSON body.
+const JSON_CONTENT_TYPE: (&str, &str) = ("content-type", "application/json");
 
-/// Bytes of a SHA-256 digest that go into a name; 128 bits make a collision negligible.
+/// The number of bytes of a SHA-256 digest that are used in a name. With 128 bits a collision is negligible.
 const DIGEST_BYTES: usize = 16;
-/// Separates digests of front names from those of other texts.
+/// Prefix of the hashed bytes that separates digests of front names from digests of other texts.
 const FRONT_NAME_DOMAIN: &[u8] = b"front\0";
 
 /// The body of a set-up request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SetUpBody {
-    /// The requesting front; updates on the session go to the stream that it opened under this name.
+    /// The name of the requesting front ([`front_name`]). Updates on the session go to the event stream opened with this name.
     pub front: String,
     /// The billing key (see [`billing_key`]): the same for all attempts for one session.
     pub bill: String,
-    /// Title by name.
+    /// The name of the title.
     pub title: String,
-    /// Class by name.
+    /// The name of the class.
     pub class: String,
-    /// Tenant by name; empty where there are none.
+    /// The name of the tenant; empty if the fleet has no tenants.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub tenant: String,
-    /// Rung to start at.
+    /// The rung at which the session starts.
     pub rung: u8,
-    /// Zone of the viewer, which is that of its front; empty where it is not stated.
+    /// The zone of the viewer, which is the zone of its front; empty if it is not stated.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub zone: String,
 }
 
-/// The body of a teardown's response, for a session that the server held.
+/// The body of the response to a teardown, for a session that the server held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TearDownResult {
-    /// Media bytes that the server sent for it in total.
+    /// The total number of media bytes that the server sent for the session.
     pub sent_bytes: u64,
 }
 
-/// The body of a rung change.
+/// The body of a request that changes the rung.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RungBody {
-    /// The rung in force from now on.
+    /// The new rung.
     pub rung: u8,
 }
 
-/// The billing key of the session with this idempotency key: a digest, which
-/// gives no access to the session.
+/// The billing key of the session with this idempotency key. It is a digest of the key, so that it gives no access to the
+/// session.
 #[must_use]
-pub fn billing_key(key: &str) -> String {
-    hex_prefix(&Sha256::digest(key.as_bytes()))
+pub fn billing_key(idempotency_key: &str) -> String {
+    hex_prefix(&Sha256::digest(idempotency_key.as_bytes()))
 }
 
-/// A front's name at servers, the same in all its incarnations. It is derived from its configured name and a secret
-/// key, so that one of them alone is not enough to request the front's sessions.
+/// The name under which a front is known to servers, which is the same in all its incarnations. It is derived from the
+/// front's configured name and a secret key, so that neither alone is enough to request the front's sessions.
 #[must_use]
 pub fn front_name(key: &[u8; 16], name: &str) -> String {
     let digest = Sha256::new()
@@ -85,6 +85,7 @@
     hex
 }
 
+/// The path of a session.
 fn session_path(name: &str) -> String {
     format!("/sessions/{name}")
 }
@@ -95,28 +96,40 @@
     format!("/sessions/{name}/media")
 }
 
-/// A request that sets a session up. The front chooses the name, so that it can tear the session down even if the
-/// response was lost.
+/// A request that sets up a session. The front chooses the name of the session, so that it can tear the session down even
+/// if the response is lost.
 #[must_use]
-pub fn set_up(host: &str, name: &str, order: &SetUpBody) -> Vec<u8> {
-    let body = serde_json::to_vec(order).unwrap_or_default();
-    head::request("PUT", &session_path(name), host, &[JSON], &body)
-}
-
-/// A request that changes the rung.
+pub fn set_up(host: &str, name: &str, set_up: &SetUpBody) -> Vec<u8> {
+    let body = serde_json::to_vec(set_up).unwrap_or_default();
+    head::request(
+        "PUT",
+        &session_path(name),
+        host,
+        &[JSON_CONTENT_TYPE],
+        &body,
+    )
+}
+
+/// A request that changes the rung of a session.
 #[must_use]
 pub fn set_rung(host: &str, name: &str, rung: u8) -> Vec<u8> {
     let body = serde_json::to_vec(&RungBody { rung }).unwrap_or_default();
-    head::request("PATCH", &session_path(name), host, &[JSON], &body)
+    head::request(
+        "PATCH",
+        &session_path(name),
+        host,
+        &[JSON_CONTENT_TYPE],
+        &body,
+    )
 }
 
-/// A request that ends a session, whether it was ever set up or not.
+/// A request that ends a session. It may be sent even if it is unknown whether the session was set up.
 #[must_use]
 pub fn tear_down(host: &str, name: &str) -> Vec<u8> {
     head::request("DELETE", &session_path(name), host, &[], b"")
 }
 
-/// The result in a teardown's response; `None` where the server held no such session, or counts no bytes.
+/// Parses the response to a teardown; `None` if the server held no such session, or does not count bytes.
 #[must_use]
 pub fn parse_tear_down_response(response: &Response, body: &[u8]) -> Option<TearDownResult> {
     if response.status != head::OK {
@@ -125,7 +138,7 @@
     serde_json::from_slice(body).ok()
 }
 
-/// The load report of a response; empty where there is none or it is malformed.
+/// The load report in the header of a response; empty if there is none or it is malformed.
 #[must_use]
 pub fn load_report(response: &Response) -> LoadReport {
     let Some(value) = response.fields.get(orca::FIELD) else {
@@ -138,7 +151,7 @@
         .collect()
 }
 
-/// The load figure that a metric of the report stands for.
+/// The load field of a metric in a load report; `None` if the metric is not used.
 fn load_field(metric: &str) -> Option<LoadField> {
     match metric {
         "named_metrics.link_asked" => Some(LoadField::LinkDemand),
@@ -149,7 +162,7 @@
     }
 }
 
-/// The result of a set-up, from its complete response.
+/// Parses the complete response to a set-up.
 #[must_use]
 pub fn parse_set_up_response(response: &Response, body: &[u8]) -> SetUpResult {
     let report = load_report(response);
