--- a/crates/textproto/src/checks.rs
+++ b/crates/textproto/src/checks.rs
@@ -1,4 +1,4 @@
-//! Collecting problems, each at the place of its field.
+//! Collects problems, each with the line and column of its field.
 use crate::locate::{self, Node};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,11 +6,11 @@
 /// A problem in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
-    /// Line, from 1.
+    /// The line, starting from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// The column in characters, starting from 1.
     pub column: usize,
-    /// What is wrong and what is allowed.
+    /// What is wrong and what is allowed. For a problem with a value, it starts with the path of the field.
     pub what: String,
 }
 
@@ -20,15 +20,16 @@
     }
 }
 
-/// Checks a text and collects its problems. Fields are named by paths such as `class[1].aim`.
+/// Checks a text and collects the problems in it. Fields are identified by paths such as `class[1].aim`, where an index
+/// counts from 0.
 pub struct Checks<'a> {
     pub(crate) text: &'a str,
-    /// The text's fields with their places.
+    /// The fields of the text with their positions.
     pub(crate) nodes: Vec<Node>,
     problems: Vec<Problem>,
-    /// Paths of fields that could not be read and were reported as such.
+    /// Paths of fields that could not be parsed and were already reported.
     pub(crate) unreadable: BTreeSet<String>,
-    /// The text that was read, with defaults filled in.
+    /// The parsed text with defaults filled in; empty until it was parsed.
     pub(crate) filled: String,
 }
 
@@ -45,10 +46,10 @@
         }
     }
 
-    /// The value, if there were no problems.
+    /// Ends the checks; returns the value if there were no problems.
     ///
     /// # Errors
-    /// The problems, in the order of the file.
+    /// All problems, in the order of the file. Empty if there are none but `value` is `None`.
     pub fn verdict<T>(mut self, value: Option<T>) -> Result<T, Vec<Problem>> {
         self.problems.sort();
         self.problems.dedup();
@@ -67,9 +68,9 @@
         self.problems.push(Problem { line, column, what });
     }
 
-    /// Reports a problem with a field.
+    /// Reports a problem with a field, unless the field could not be parsed.
     pub fn wrong(&mut self, path: &str, what: impl Into<String>) {
-        // A field that could not be read looks as if it were missing, and was reported already.
+        // A field that could not be parsed looks like a missing one, and was already reported.
         if self.is_unreadable(path) {
             return;
         }
@@ -78,7 +79,7 @@
         self.wrong_at(offset, format!("{path}: {what}"));
     }
 
-    /// Whether the field, or a message around it, could not be read.
+    /// Whether the field, or a message that contains it, could not be parsed.
     fn is_unreadable(&self, path: &str) -> bool {
         let path = path.replace("[0]", "");
         self.unreadable.iter().any(|unreadable| {
@@ -93,14 +94,14 @@
         self.nodes.iter().any(|node| node.name == name)
     }
 
-    /// Reports a problem with a field if a condition does not hold.
+    /// Reports a problem with a field unless the condition `holds`.
     pub fn must(&mut self, holds: bool, path: &str, what: &str) {
         if !holds {
             self.wrong(path, what);
         }
     }
 
-    /// The text that [`Checks::structure`] read, with defaults filled in, in text format.
+    /// The text that [`Checks::structure`] parsed, in text format with defaults filled in; empty if it was not parsed.
     #[must_use]
     pub fn filled(&self) -> &str {
         &self.filled
--- a/crates/textproto/src/lib.rs
+++ b/crates/textproto/src/lib.rs
@@ -1,5 +1,5 @@
-//! Files in protobuf text format, checked completely: [`Checks`] reads a text by its schema, then its values are checked
-//! one by one, and every problem is reported, each with line, column and what is allowed.
+//! Reads and checks files in protobuf text format. [`Checks`] parses a text by its schema, and the caller then checks its
+//! values one by one. All problems are reported together, each with its line and column, and with what is allowed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod checks;
--- a/crates/textproto/src/locate.rs
+++ b/crates/textproto/src/locate.rs
@@ -1,7 +1,7 @@
-//! The place of each field in a text-format file, so that later checks can report line and column.
+//! Finds the position of each field in a text-format file, so that checks can report line and column.
 //!
-//! The values themselves are read by prost-reflect; this only parses the structure: `name: value`, `name { ... }`,
-//! `name: [ ... ]`, comments.
+//! prost-reflect parses the values. This parser only handles the structure: `name: value`, `name { ... }`,
+//! `name: [ ... ]` and comments.
 use winnow::combinator::{alt, delimited, opt, preceded, repeat, separated};
 use winnow::error::ContextError;
 use winnow::stream::{LocatingSlice, Location, Stream};
@@ -10,39 +10,46 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// A field and its places, in bytes from the start of the text.
+/// A field and its positions, as byte offsets in the text.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Node {
+    /// The name of the field.
     pub name: String,
-    /// Where its name begins; for an element of a list, where the element begins.
+    /// Where the name starts; for an element of a list, where the element starts.
     pub start: usize,
-    /// Where its value begins.
+    /// Where the value starts.
     pub value_start: usize,
-    /// Where it ends.
+    /// Where the value ends.
     pub end: usize,
-    /// The fields of a message; `None` for any other value.
+    /// The fields of the value if it is a message; `None` for any other value.
     pub fields: Option<Vec<Node>>,
 }
 
+/// A value without its content, except for the fields in it.
 enum Value {
+    /// A string, a number or an identifier.
     Scalar,
+    /// A message with its fields.
     Message(Vec<Node>),
+    /// A list in square brackets.
     List(Vec<ListElement>),
 }
 
+/// An element of a list, with its start and end as byte offsets in the text.
 struct ListElement {
     start: usize,
     value: Value,
     end: usize,
 }
 
-/// Blank space and comments.
+/// Skips whitespace and comments.
 fn skip_blank(input: &mut Input<'_>) -> Result<()> {
     let comment = ('#', take_till(0.., '\n')).void();
     let space = take_while(1.., char::is_whitespace).void();
     repeat(0.., alt((space, comment))).parse_next(input)
 }
 
+/// A quoted string.
 fn quoted(input: &mut Input<'_>) -> Result<()> {
     let content = |quote: char| {
         let escaped = ('\\', any).void();
@@ -62,6 +69,7 @@
     take_while(1.., is_word_character).void().parse_next(input)
 }
 
+/// One or more adjacent strings, or a word that may have a minus sign.
 fn scalar(input: &mut Input<'_>) -> Result<()> {
     let strings = repeat::<_, _, (), _, _>(1.., (quoted, skip_blank));
     let negative = ('-', skip_blank, word).void();
@@ -88,12 +96,12 @@
     .parse_next(input)
 }
 
-/// The current place in the text.
+/// The current byte offset in the text.
 fn offset(input: &mut Input<'_>) -> Result<usize> {
     Ok(input.current_token_start())
 }
 
-/// A field; each element of a list is an occurrence of the field.
+/// A field. If its value is a list, each element becomes a node of its own, as if the field were repeated.
 fn field(input: &mut Input<'_>) -> Result<Vec<Node>> {
     skip_blank(input)?;
     let start = offset(input)?;
@@ -131,6 +139,7 @@
     }
 }
 
+/// All fields up to the first text that is not a field.
 fn fields(input: &mut Input<'_>) -> Result<Vec<Node>> {
     let mut all = Vec::new();
     loop {
@@ -145,31 +154,31 @@
     }
 }
 
-/// The fields of a text, as far as it can be parsed.
+/// The fields of a text, up to the first place that can't be parsed.
 pub(crate) fn locate(text: &str) -> Vec<Node> {
     fields(&mut LocatingSlice::new(text)).unwrap_or_default()
 }
 
-/// The place of a field's value by a path such as `class[1].aim`; where it is missing, that of the innermost message around
-/// it.
+/// The byte offset of the field with a path such as `class[1].aim`: where its value starts, or where the field starts if its
+/// value is a message. For a missing field, the start of the innermost message on the path, or 0 if there is none.
 pub(crate) fn find(nodes: &[Node], path: &str) -> usize {
     let mut nodes = nodes;
-    let mut place = 0;
-    for step in path.split('.') {
-        let (name, index) = match step.split_once('[') {
+    let mut position = 0;
+    for segment in path.split('.') {
+        let (name, index) = match segment.split_once('[') {
             Some((name, index)) => (name, index.trim_end_matches(']').parse().unwrap_or(0)),
-            None => (step, 0),
+            None => (segment, 0),
         };
         let Some(node) = nodes.iter().filter(|node| node.name == name).nth(index) else {
-            return place;
+            return position;
         };
-        place = match node.fields {
+        position = match node.fields {
             Some(_) => node.start,
             None => node.value_start,
         };
         nodes = node.fields.as_deref().unwrap_or(&[]);
     }
-    place
+    position
 }
 
 #[cfg(test)]
--- a/crates/textproto/src/locate/tests.rs
+++ b/crates/textproto/src/locate/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 #[test]
-fn fields_are_found_at_their_places() {
+fn fields_are_found_at_their_positions() {
     let text = "# head\nfront { index: 3 # which\n  zone: \"a\" 'b' }\nclass { name: \"x\" }\nclass: < aim: \"1s\"; worth: -2 >\nzone: [\"a\", \"b\"]";
     let nodes = locate(text);
-    let here = |path: &str| &text[find(&nodes, path)..];
-    assert!(here("front.index").starts_with("3 #"));
-    assert!(here("front.zone").starts_with("\"a\" 'b'"));
-    assert!(here("class[1].aim").starts_with("\"1s\""));
-    assert!(here("class[1].worth").starts_with("-2"));
-    assert!(here("zone[1]").starts_with("\"b\""));
+    let text_at = |path: &str| &text[find(&nodes, path)..];
+    assert!(text_at("front.index").starts_with("3 #"));
+    assert!(text_at("front.zone").starts_with("\"a\" 'b'"));
+    assert!(text_at("class[1].aim").starts_with("\"1s\""));
+    assert!(text_at("class[1].worth").starts_with("-2"));
+    assert!(text_at("zone[1]").starts_with("\"b\""));
     assert!(
-        here("class[0].aim").starts_with("class { name"),
-        "what lacks a field is named"
+        text_at("class[0].aim").starts_with("class { name"),
+        "a missing field should be located at the message that lacks it"
     );
 }
 
--- a/crates/textproto/src/structure.rs
+++ b/crates/textproto/src/structure.rs
@@ -1,4 +1,4 @@
-//! Reading a text by its schema: unknown and malformed fields, defaults.
+//! Parses a text by its schema, reports unknown and malformed fields, and fills in defaults.
 use crate::locate::Node;
 use crate::Checks;
 use miette::Diagnostic;
@@ -8,12 +8,12 @@
 use std::ops::Range;
 
 impl Checks<'_> {
-    /// Reads the text as the message `root` of a compiled schema, with absent fields filled in from `defaults` (another
-    /// text of the same message); `None` where that fails. Fields that are unknown or malformed are reported and left
-    /// out, so that all others are read and checked.
+    /// Parses the text as the message type `root` of a compiled schema and fills in absent fields from `defaults`, another text
+    /// of the same message type. Unknown and malformed fields are reported and left out, so that all others can be checked.
+    /// Returns `None` if the text can't be parsed even without these fields.
     ///
     /// # Panics
-    /// The schema or the defaults are malformed; both are compiled into the program.
+    /// The schema or the defaults are malformed, which is a fault of the program, as both are compiled into it.
     pub fn structure<T: prost::Message + Default>(
         &mut self,
         descriptors: &[u8],
@@ -32,19 +32,19 @@
         let mut message = message?;
         let defaults = DynamicMessage::parse_text_format(descriptor, defaults)
             .expect("the defaults are part of this program");
-        fill(&mut message, &defaults);
+        fill_defaults(&mut message, &defaults);
         self.filled = message.to_text_format_with_options(&FormatOptions::new().pretty(true));
         message.transcode_to().ok()
     }
 
-    /// Reads the text. A field that can't be read is reported and blanked, and the rest is read again.
+    /// Parses the text. A field that can't be parsed is reported and blanked, and then the text is parsed again.
     fn parse_readable_fields(
         &mut self,
         nodes: &[Node],
         descriptor: &MessageDescriptor,
         text: &mut String,
     ) -> Option<DynamicMessage> {
-        // Each round blanks one more field, so there are no more rounds than fields.
+        // Each iteration blanks one more field, so there are no more iterations than fields.
         loop {
             let error = match DynamicMessage::parse_text_format(descriptor.clone(), text) {
                 Ok(message) => return Some(message),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reports fields that the schema does not have, and blanks them in `text`.
+    /// Reports fields that the schema does not have, at any depth, and blanks them in `text`.
     fn report_unknown_fields(
         &mut self,
         nodes: &[Node],
@@ -84,6 +84,7 @@
     }
 }
 
+/// The problem with a field that the message type does not have.
 fn unknown_field(name: &str, message: &MessageDescriptor, path: &str) -> String {
     let mut allowed: Vec<String> = message
         .fields()
@@ -95,7 +96,7 @@
     format!("no field {name:?} in {place}; allowed: {allowed}")
 }
 
-/// Fields with their paths below `path`; occurrences of a repeated field after the first are numbered.
+/// The fields with their paths below `path`. The paths of all but the first occurrence of a repeated field have an index.
 fn with_paths<'n>(nodes: &'n [Node], path: &str) -> Vec<(&'n Node, String)> {
     let mut occurrences: HashMap<&str, usize> = HashMap::new();
     let mut all = Vec::with_capacity(nodes.len());
@@ -112,7 +113,7 @@
     all
 }
 
-/// The path and the span of the innermost field around a byte offset.
+/// The path and the byte range of the innermost field that contains a byte offset.
 fn innermost_field(nodes: &[Node], offset: usize) -> Option<(String, Range<usize>)> {
     let mut found = None;
     let mut nodes = nodes;
@@ -128,7 +129,7 @@
     found
 }
 
-/// Replaces a part of a text by blanks and keeps its line breaks, so that all places stay.
+/// Replaces a range of the text with spaces but keeps its line breaks, so that the positions of all other fields stay the same.
 fn blank(text: &mut String, span: Range<usize>) {
     let blanks: String = text[span.clone()]
         .bytes()
@@ -137,18 +138,19 @@
     text.replace_range(span, &blanks);
 }
 
-/// Fills in the fields that a message lacks. The one element of a repeated message in `defaults` applies to each element.
-fn fill(message: &mut DynamicMessage, defaults: &DynamicMessage) {
+/// Fills in the fields that a message lacks. For a repeated message, `defaults` has one element, whose fields are the defaults
+/// of every element.
+fn fill_defaults(message: &mut DynamicMessage, defaults: &DynamicMessage) {
     for (field, default) in defaults.fields() {
         match default {
             Value::Message(inner_defaults) => {
                 if let Some(inner) = message.get_field_mut(&field).as_message_mut() {
-                    fill(inner, inner_defaults);
+                    fill_defaults(inner, inner_defaults);
                 }
             }
             Value::List(templates) => {
                 if let Some(Value::Message(template)) = templates.first() {
-                    fill_elements(message.get_field_mut(&field), template);
+                    fill_element_defaults(message.get_field_mut(&field), template);
                 }
             }
             other if !message.has_field(&field) => message.set_field(&field, other.clone()),
@@ -157,13 +159,14 @@
     }
 }
 
-fn fill_elements(list: &mut Value, template: &DynamicMessage) {
+/// Fills in the fields that the elements of a list lack.
+fn fill_element_defaults(list: &mut Value, template: &DynamicMessage) {
     let Some(elements) = list.as_list_mut() else {
         return;
     };
     for element in elements {
         if let Some(element) = element.as_message_mut() {
-            fill(element, template);
+            fill_defaults(element, template);
         }
     }
 }
--- a/crates/textproto/src/units.rs
+++ b/crates/textproto/src/units.rs
@@ -1,23 +1,23 @@
-//! Quantities with a unit: "800ms", "620kB/s", "64KiB".
+//! Parses quantities with a unit, such as "800ms", "620kB/s" or "64KiB".
 use winnow::ascii::{digit1, space0};
 use winnow::combinator::{alt, opt, preceded};
 use winnow::error::ContextError;
 use winnow::token::take_while;
 use winnow::{Parser, Result};
 
-/// What a quantity measures, and in which unit it is returned.
+/// What a quantity measures. Each variant states the unit in which the parsed quantity is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
-    /// Nanoseconds.
+    /// A time, in nanoseconds.
     Time,
-    /// kB (1,000 bytes) a second.
+    /// A rate, in kB (1,000 bytes) per second.
     Rate,
-    /// Bytes.
+    /// A size, in bytes.
     Size,
 }
 
 impl Unit {
-    /// The forms that are allowed.
+    /// Describes the allowed forms, for messages about a missing or malformed quantity.
     #[must_use]
     pub fn allowed(self) -> &'static str {
         match self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The names of units and the factors to the unit in which a quantity is returned.
+    /// The allowed unit names, with the factors that convert to the unit in which a quantity is returned.
     fn factors(self) -> &'static [(&'static str, f64)] {
         match self {
             Unit::Time => &[
@@ -52,22 +52,23 @@
 /// Why a text is not a quantity.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum QuantityError {
-    /// It is not a number with the name of a unit.
+    /// The text is not a number followed by the name of a unit.
     #[error("{text:?} is not {}", unit.allowed())]
     Malformed {
-        /// The text.
+        /// The text, as it is in the file.
         text: String,
-        /// What it should measure.
+        /// What the quantity should measure.
         unit: Unit,
     },
-    /// It is [`MAX_QUANTITY`] or more.
+    /// The quantity is [`QUANTITY_LIMIT`] or more.
     #[error("{0:?} is too large")]
     TooLarge(String),
 }
 
-/// Quantities are below this: as integers they fit 64 bits.
-const MAX_QUANTITY: f64 = 1e18;
+/// Quantities must be below this limit, so that they fit into 64 bits as integers.
+const QUANTITY_LIMIT: f64 = 1e18;
 
+/// A decimal number without a sign or an exponent.
 fn number(input: &mut &str) -> Result<f64> {
     (digit1, opt(preceded('.', digit1)))
         .take()
@@ -75,7 +76,7 @@
         .parse_next(input)
 }
 
-/// The factor of the unit that is named next.
+/// The factor of the unit whose name is next in the input.
 fn factor(unit: Unit, input: &mut &str) -> Result<f64, ContextError> {
     let is_unit_character = |c: char| c.is_ascii_alphabetic() || c == '/';
     let name = alt((take_while(1.., is_unit_character), "")).parse_next(input)?;
@@ -85,7 +86,7 @@
         .ok_or_else(ContextError::new)
 }
 
-/// The quantity in nanoseconds, kB a second or bytes.
+/// Parses a quantity; returns it in the unit that [`Unit`] states.
 pub(crate) fn quantity(text: &str, unit: Unit) -> std::result::Result<f64, QuantityError> {
     let with_unit = |input: &mut &str| -> Result<f64> {
         let (number, _) = (number, space0).parse_next(input)?;
@@ -97,7 +98,7 @@
             text: text.to_owned(),
             unit,
         })?;
-    if !value.is_finite() || value >= MAX_QUANTITY {
+    if !value.is_finite() || value >= QUANTITY_LIMIT {
         return Err(QuantityError::TooLarge(text.to_owned()));
     }
     Ok(value)
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,7 +1,8 @@
-//! Points in time, the same type in every package.
+//! The type for points in time that all packages use.
 //!
-//! A [`Time`] is a point, a [`Duration`] the distance between two: neither can be taken for the other, nor for a plain
-//! number. No arithmetic overflows: a point beyond the range is [`Time::MAX`], one before it [`Time::ZERO`].
+//! A [`Time`] is a point in time, and a [`Duration`] is the distance between two points. They are separate types, so that
+//! neither can be confused with the other or with a plain number. Arithmetic saturates at [`Time::ZERO`] and [`Time::MAX`]
+//! and never overflows.
 #![forbid(unsafe_code)]
 mod atomic_time;
 
@@ -9,25 +10,25 @@
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
-/// A point on a clock that only increases, in nanoseconds.
+/// A point in time on a clock that never goes back, in nanoseconds since the origin of the clock.
 ///
-/// On a real clock these count from the Unix epoch, in a simulation from its start.
+/// The origin is the Unix epoch for a real clock, and the start of the simulation for a simulated one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The earliest point: the origin of the clock.
+    /// The earliest point in time, which is the origin of the clock.
     pub const ZERO: Time = Time(0);
-    /// The latest point. As a deadline it stands for none.
+    /// The latest point in time. As a deadline it means that there is no deadline.
     pub const MAX: Time = Time(u64::MAX);
 
-    /// Nanoseconds since the origin of the clock, for wire formats and stored records.
+    /// The nanoseconds since the origin of the clock, for wire formats and stored records.
     #[must_use]
     pub const fn as_nanos(self) -> u64 {
         self.0
     }
 
-    /// How long after `earlier` this is; zero if it is not later.
+    /// The time that has passed since `earlier`; zero if `earlier` is later than this.
     #[must_use]
     pub const fn duration_since(self, earlier: Time) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
@@ -56,7 +57,7 @@
     }
 }
 
-/// Whole nanoseconds of a duration, for wire formats and stored records; `u64::MAX` if there are more (584 years).
+/// A duration in nanoseconds, for wire formats and stored records; `u64::MAX` if it does not fit into 64 bits (584 years).
 #[must_use]
 pub fn nanoseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
--- a/crates/time/tests/arithmetic.rs
+++ b/crates/time/tests/arithmetic.rs
@@ -1,4 +1,4 @@
-//! Arithmetic on points in time, at the ends of the range too.
+//! Arithmetic on points in time, also at the limits of their range.
 use crankpaddle_time::{nanoseconds, AtomicTime, Time};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 #[test]
 fn a_duration_is_the_distance_between_two_points() {
     let start = Time(5);
-    let later = start + SECOND;
-    assert_eq!(later, Time(1_000_000_005));
-    assert_eq!(later.duration_since(start), SECOND);
-    assert_eq!(start.duration_since(later), Duration::ZERO);
-    assert_eq!(later - SECOND, start);
+    let end = start + SECOND;
+    assert_eq!(end, Time(1_000_000_005));
+    assert_eq!(end.duration_since(start), SECOND);
+    assert_eq!(start.duration_since(end), Duration::ZERO);
+    assert_eq!(end - SECOND, start);
 }
 
 #[test]
-fn nothing_overflows() {
+fn arithmetic_saturates_at_the_limits() {
     assert_eq!(Time::MAX + SECOND, Time::MAX);
     assert_eq!(Time(1) + Duration::MAX, Time::MAX);
     assert_eq!(Time(1) - SECOND, Time::ZERO);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_shared_point_moves_forward_only_by_fetch_max() {
+fn fetch_max_only_moves_an_atomic_time_forward() {
     let deadline = AtomicTime::new(Time(5));
     deadline.fetch_max(Time(3), Ordering::Relaxed);
     assert_eq!(deadline.load(Ordering::Relaxed), Time(5));
