--- a/crates/net/examples/timed_waits.rs
+++ b/crates/net/examples/timed_waits.rs
@@ -1,4 +1,4 @@
-//! Checks that timers keep working after waits of many distinct durations, with which the timers of may (0.3.51) stop.
+//! Checks that timers keep working after waits of many distinct durations, with which the timers of `may` (0.3.51) stop.
 //!
 //! Some coroutines sleep for random durations; others wait for messages until a random deadline, while some messages arrive
 //! earlier. Each second the program prints how many waits have ended; 0 shows that the timers have stopped.
--- a/crates/net/src/acceptor.rs
+++ b/crates/net/src/acceptor.rs
@@ -47,7 +47,7 @@
 /// Starts a coroutine that accepts connections and handles each with `handle_connection` in a coroutine of its own.
 ///
 /// `reserve` is called before each accept and returns a permit, or `None` while there is no capacity; connections wait in
-/// the kernel meanwhile. The permit is passed on with the accepted connection, and counts until `handle_connection` drops
+/// the kernel meanwhile. The permit is passed on with the accepted connection and is held until `handle_connection` drops
 /// it.
 pub fn accept_while_capacity<P: Send + 'static>(
     listener: TcpListener,
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection ended before the first byte of the message.
-    #[error("the connection ended before the message")]
+    #[error("the connection ended before the first byte of the message")]
     Closed,
     /// The connection failed in the middle of the message.
     #[error("the connection failed in the middle of the message")]
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -19,7 +19,7 @@
 
 /// Opens a listening socket on an address.
 ///
-/// `TcpListener::bind` of may (0.3.51) is not used because it sets SO_REUSEPORT: a second front on the same address would
+/// `TcpListener::bind` of `may` (0.3.51) is not used because it sets SO_REUSEPORT: a second front on the same address would
 /// start without an error and receive half of the players.
 ///
 /// # Errors
@@ -31,8 +31,8 @@
     socket.set_reuse_address(true)?; // Allows a restart while old connections are in TIME_WAIT.
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
-    // SAFETY: the descriptor was just created, and `into_raw_fd` gives up its ownership, so it has no other owner. may has
-    // no safe way to take over a listener.
+    // SAFETY: the descriptor was just created, and `into_raw_fd` gives up its ownership, so it has no other owner. `may`
+    // has no safe way to take over a listener.
     Ok(unsafe { TcpListener::from_raw_fd(socket.into_raw_fd()) })
 }
 
--- a/crates/net/src/runtime.rs
+++ b/crates/net/src/runtime.rs
@@ -11,18 +11,18 @@
 /// that an overflow ends the process instead of corrupting another coroutine's data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stack {
-    /// For connections and attempts. may reuses these stacks, so starting such a coroutine is cheap.
+    /// For connections and attempts. `may` reuses these stacks, so starting such a coroutine is cheap.
     Usual,
     /// For the one coroutine of a process that runs the decision core.
     Large,
 }
 
 /// Size of a usual stack in words of 8 bytes. The highest use in the socket tests, in a debug build, was 3,329 words
-/// (26 KiB). An odd size makes may print the stack use of each coroutine.
+/// (26 KiB). An odd size makes `may` print the stack use of each coroutine.
 const USUAL_STACK_WORDS: usize = 0x2000;
 /// Size of a large stack in words of 8 bytes. The highest use in the same tests was 4,843 words (38 KiB).
 const LARGE_STACK_WORDS: usize = 0x4_0000;
-/// The shortest wait. may (0.3.51) truncates timeouts to whole milliseconds and takes zero for no timeout.
+/// The shortest wait. `may` (0.3.51) truncates timeouts to whole milliseconds and takes zero for no timeout.
 pub(crate) const MIN_WAIT: Duration = Duration::from_millis(1);
 
 static ONE_WORKER: AtomicBool = AtomicBool::new(false);
@@ -32,7 +32,7 @@
     ONE_WORKER.load(Ordering::Relaxed)
 }
 
-/// Configures may; call it before the first coroutine starts, as it has no effect later. `workers` is the number of worker
+/// Configures `may`; call it before the first coroutine starts, as it has no effect later. `workers` is the number of worker
 /// threads; `None` means one per core.
 pub fn start(workers: Option<usize>) {
     let config = may::config();
@@ -51,7 +51,7 @@
         Stack::Usual => coroutine::Builder::new(),
         Stack::Large => coroutine::Builder::new().stack_size(LARGE_STACK_WORDS),
     };
-    // SAFETY: may requires that a coroutine uses no thread-local across a wait and stays within its stack. This workspace
+    // SAFETY: `may` requires that a coroutine uses no thread-local across a wait and stays within its stack. This workspace
     // uses none across a wait (`tracing` uses one, but within a call that never waits), and each stack has a guard page.
     // An error means that no stack could be mapped; the coroutine is then dropped, as if it had panicked.
     let _ = unsafe { builder.spawn(run) };
@@ -60,7 +60,7 @@
 /// Receives the next message, waiting until `deadline`, which is measured on [`clock::now`]. A queued message is returned
 /// even if the deadline has passed.
 ///
-/// It waits in several steps because of two faults in `recv_timeout` of may (0.3.51). It truncates the timeout to whole
+/// It waits in several steps because of two faults in `recv_timeout` of `may` (0.3.51). It truncates the timeout to whole
 /// milliseconds, wakes early by the truncated part and then waits for the whole timeout again: answers due after 1.4 s came
 /// after 1.64 s. It also truncates a timeout below one millisecond to zero, which means no timeout, so the wait never
 /// ends. Each step here lasts at most half of the remaining time, so that even a doubled step ends before the deadline,
@@ -106,11 +106,11 @@
 /// How long other coroutines may read their sockets after a stall before overdue timers are handled.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(20);
 
-/// Checks whether the process was stalled, which is so if a timer that was due at `due` is only handled now. After a stall
-/// it handles everything that has arrived meanwhile. Returns whether there was a stall.
+/// Detects a stall of the whole process and handles everything that has arrived meanwhile; returns whether there was a stall.
+/// `due` is when the timer that the caller is about to handle was due: if it is late by more than 250 ms, there was a stall.
 ///
 /// After a stall the timers of all requests are overdue, while answers that arrived in time are still unread in the
-/// sockets. They have to be handled before the timers.
+/// sockets. These answers have to be handled before the timers.
 ///
 /// `drain_more` handles queued messages and returns whether there may be more.
 pub fn drain_after_stall(due: Time, mut drain_more: impl FnMut() -> bool) -> bool {
@@ -125,7 +125,7 @@
 /// The duration of the next timer of a wait that may last `time` at most: the largest power of two in milliseconds that fits
 /// into `time`, and at least one millisecond.
 ///
-/// may (0.3.51) keeps a list of timers for each distinct duration. From 1,024 lists on it frees a list that has become
+/// `may` (0.3.51) keeps a list of timers for each distinct duration. From 1,024 lists on it frees a list that has become
 /// empty while handles of its last timer are still held; then all timers of the process stop, or it crashes (SIGSEGV).
 /// This was observed in a testbed of processes whose waits had arbitrary durations of up to some hundred milliseconds. A
 /// front, whose waits end when answers are due, would have reached that number of durations eventually, and so would
--- a/crates/net/src/runtime/tests.rs
+++ b/crates/net/src/runtime/tests.rs
@@ -22,8 +22,8 @@
     Duration::from_nanos(1_000_000 + (*state >> 20) % (max_ms * 1_000_000))
 }
 
-/// Guards against a fault of may (0.3.51): without `timer_step`, waits with thousands of distinct durations stop all timers of
-/// the process after some 5,000 waits.
+/// Guards against a fault of `may` (0.3.51): without `timer_step`, waits with thousands of distinct durations stop all
+/// timers of the process after some 5,000 waits.
 #[test]
 fn timers_keep_working_after_waits_of_thousands_of_distinct_durations() {
     const PAIRS: u64 = 64;
@@ -48,7 +48,7 @@
             let _ = done.send(()); // The test may have failed meanwhile.
         });
     }
-    // Waits on a plain thread, because a wait of may would be stopped by the fault as well.
+    // Waits on a plain thread, because a wait of `may` would be stopped by the fault as well.
     let ended = (0..PAIRS)
         .take_while(|_| finished_pairs.recv_timeout(Duration::from_secs(30)).is_ok())
         .count();
@@ -78,7 +78,7 @@
         delays.sort_unstable();
         delays[10]
     });
-    // A wait that may doubles ends late by its whole duration. The median tells that apart from single slow waits.
+    // A wait that `may` doubles ends late by its whole duration. The median tells that apart from single slow waits.
     assert!(
         median_delay < Duration::from_millis(25),
         "the median wait ended {median_delay:?} late"
--- a/crates/net/src/socket/connect.rs
+++ b/crates/net/src/socket/connect.rs
@@ -20,10 +20,10 @@
 impl Socket {
     /// Connects to an address within `timeout`. Must be called in a coroutine.
     ///
-    /// It polls because the connect of may (0.3.51, `TcpStreamConnect::subscribe`) makes the coroutine resumable and then
-    /// still reads data on the coroutine's stack. If the result comes immediately, as a refusal does, another thread has
-    /// resumed the coroutine by then, and the whole process crashes. This was observed once in some thirty days of fault
-    /// runs on two cores, and in a sixth of the runs of `tests/connect.rs` on one core. The cost of polling is that a
+    /// It polls because the connect of `may` (0.3.51, `TcpStreamConnect::subscribe`) makes the coroutine resumable and then
+    /// still reads data on the coroutine's stack. If the result comes immediately, as a refusal does, another thread may
+    /// have resumed the coroutine by then, and the whole process crashes. This was observed once in some thirty days of
+    /// fault runs on two cores, and in a sixth of the runs of `tests/connect.rs` on one core. The cost of polling is that a
     /// connection that takes longer than a millisecond is noticed up to 8 ms late.
     ///
     /// # Errors
@@ -43,8 +43,8 @@
     /// be registered for events, and a panic ends only that coroutine.
     #[allow(unsafe_code)]
     pub(crate) fn adopt(stream: std::net::TcpStream) -> Socket {
-        // SAFETY: `into_raw_fd` gives up the ownership of the open descriptor, which has no other owner. may has no safe way to
-        // take over a stream.
+        // SAFETY: `into_raw_fd` gives up the ownership of the open descriptor, which has no other owner. `may` has no safe
+        // way to take over a stream.
         Socket::new(unsafe { TcpStream::from_raw_fd(stream.into_raw_fd()) })
     }
 }
--- a/crates/net/src/socket/deferred_free.rs
+++ b/crates/net/src/socket/deferred_free.rs
@@ -22,7 +22,7 @@
 
 /// Keeps a closed stream for [`FREE_DELAY`] before it is freed, and frees earlier streams whose delay has passed.
 ///
-/// `wait_io` of may (0.3.51, `RawIoBlock::subscribe`) makes the coroutine resumable and then still reads from the stream.
+/// `wait_io` of `may` (0.3.51, `RawIoBlock::subscribe`) makes the coroutine resumable and then still reads from the stream.
 /// If the coroutine wakes on another thread, ends and frees the stream meanwhile, that is a read of freed memory. The cost
 /// of the delay is that the file descriptor of a closed socket is released some 200 ms late.
 ///
--- a/crates/net/src/yield_budget.rs
+++ b/crates/net/src/yield_budget.rs
@@ -6,7 +6,7 @@
 
 /// Counts the operations that a coroutine completes without waiting, and suspends it after too many in a row.
 ///
-/// The coroutine sleeps instead of yielding because a worker thread of may (0.3.51) polls its sockets only when no coroutine
+/// The coroutine sleeps instead of yielding because a worker thread of `may` (0.3.51) polls its sockets only when no coroutine
 /// is runnable. A coroutine whose peer sends at full speed never waits. If it only yielded, it would be runnable again
 /// immediately, and with one worker no other socket would be polled until the sender stops. In tests of the front node,
 /// other connections waited 2 s while one client flooded it. The cost is that such a connection is read at a bounded rate.
--- a/crates/net/tests/connect.rs
+++ b/crates/net/tests/connect.rs
@@ -1,4 +1,4 @@
-//! Many connects that fail or end immediately. The connect of may (0.3.51) reads freed memory in this case, which crashes the
+//! Many connects that fail or end immediately. The connect of `may` (0.3.51) reads freed memory in this case, which crashes the
 //! process; `Socket::connect` does not use it.
 use crankpaddle_net::{sleep, spawn, Socket, Stack};
 use std::io::ErrorKind;
--- a/crates/node-protocol/src/lib.rs
+++ b/crates/node-protocol/src/lib.rs
@@ -2,7 +2,7 @@
 //! I/O: bytes are decoded to typed messages or a typed error, and messages are encoded to bytes.
 //!
 //! - [`viewers`]: the protocol with viewers, one JSON object per line;
-//! - [`rtsp`]: the protocol with servers, a subset of RTSP;
+//! - [`rtsp`]: the protocol with servers, which uses RTSP messages;
 //! - [`directory`]: the DNS query for the list of servers;
 //! - [`config`]: the configuration with which a front node is started.
 //!
--- a/crates/node-protocol/src/rtsp/mod.rs
+++ b/crates/node-protocol/src/rtsp/mod.rs
@@ -51,7 +51,7 @@
     pub session: Option<Tag>,
     /// The names and values of all other headers, in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body, byte for byte. It may be any bytes, and also a response that no attempt waits for may have one.
+    /// The body, byte for byte. It need not be text. A response that no attempt waits for may have a body as well.
     pub body: Vec<u8>,
 }
 
