--- a/crates/http/src/problem.rs
+++ b/crates/http/src/problem.rs
@@ -11,7 +11,7 @@
 #[schemars(deny_unknown_fields)]
 pub struct Problem {
     /// What kind it is, a URI; "about:blank" says no more than the status.
-    #[serde(rename = "type", default = "about_blank")]
+    #[serde(rename = "type", default = "blank")]
     pub kind: String,
     /// The kind in words.
     #[serde(default)]
@@ -28,7 +28,7 @@
 }
 
 /// The type of a problem that has no meaning beyond its status (RFC 9457).
-fn about_blank() -> String {
+fn blank() -> String {
     "about:blank".into()
 }
 
@@ -37,7 +37,7 @@
     #[must_use]
     pub fn new(status: u16, detail: impl Into<String>) -> Problem {
         Problem {
-            kind: about_blank(),
+            kind: blank(),
             title: head::reason_phrase(status).to_owned(),
             status,
             detail: detail.into(),
