--- a/crates/testbed/src/invariant_checker/at_most_once.rs
+++ b/crates/testbed/src/invariant_checker/at_most_once.rs
@@ -6,23 +6,27 @@
 use crankpaddle_time::Time;
 use std::collections::HashMap;
 
-/// Two attempts that were in flight together, from the time the second was sent.
+/// Two attempts for one bill that were in flight at the same time.
 struct Overlap<'a> {
     first: &'a str,
     second: &'a str,
+    /// When the second attempt was sent.
     since: Time,
 }
 
-/// What is known about the set-ups of one bill reference.
+/// The set-ups that were sent under one billing reference.
 #[derive(Default)]
 struct BillState<'a> {
     billed_count: usize,
+    /// Whether a set-up ended in a way that does not rule out that it ran.
     may_have_run: bool,
+    /// Session name of the latest attempt, until it ends.
     in_flight: Option<&'a str>,
+    /// Set until the first of the two attempts ends.
     overlap: Option<Overlap<'a>>,
 }
 
-/// What a player requested.
+/// A player's open request: its billing reference and the number of its class.
 struct Request<'a> {
     bill: &'a str,
     class: u8,
@@ -75,8 +79,8 @@
         }
     }
 
-    fn breach(&mut self, at: Time, what: String) {
-        self.verdict.add_breach(AT_MOST_ONCE, at, what);
+    fn breach(&mut self, at: Time, description: String) {
+        self.verdict.add_breach(AT_MOST_ONCE, at, description);
     }
 
     fn on_set_up(&mut self, at: Time, name: &'a str, bill: &'a str, class: &str) {
@@ -92,8 +96,8 @@
             });
         }
         if resent {
-            let what = format!("bill {bill} was sent again though it may have run");
-            self.breach(at, what);
+            let description = format!("bill {bill} was sent again though it may have run");
+            self.breach(at, description);
         }
     }
 
@@ -122,16 +126,16 @@
         else {
             return;
         };
-        // Why: a front may see the end of a connection before the stand-in records it, or may have closed it itself
-        // and the stand-in reads that later; both stay within the tolerance.
+        // A front can know of the end of a connection before the simulated server records it, also when the front closed
+        // the connection itself. The server's record follows within the tolerance.
         let disconnected = matches!(reply, Reply::Left | Reply::Reset);
         if !disconnected || at.duration_since(since) > self.evidence.rules.tolerance {
-            let what = format!("attempts {first} and {second} were out together");
-            self.breach(since, what);
+            let description = format!("attempts {first} and {second} were out together");
+            self.breach(since, description);
         }
     }
 
-    /// The server stated that the set-up, which has ended, did not run; only a bill proves otherwise.
+    /// The server stated that an ended set-up never ran. This is believed unless the set-up was billed.
     fn on_disowned(&mut self, name: &str) {
         let Some(session) = self.evidence.session(name) else {
             return;
@@ -148,12 +152,12 @@
         let is_paid = class_rule.is_some_and(|rule| rule.paid);
         let state = self.bills.get(bill);
         if is_paid && state.is_some_and(|s| s.may_have_run || s.in_flight.is_some()) {
-            let what = format!("call {call} was refused though bill {bill} may have run");
-            self.breach(at, what);
+            let description = format!("call {call} was refused though bill {bill} may have run");
+            self.breach(at, description);
         }
     }
 
-    /// Overlaps whose first attempt has no recorded end.
+    /// Reports the overlaps whose first attempt has no recorded end.
     fn report_open_overlaps(self) {
         for (bill, state) in self.bills {
             if let Some(Overlap {
@@ -162,8 +166,9 @@
                 since,
             }) = state.overlap
             {
-                let what = format!("bill {bill}: attempts {first} and {second} were out together");
-                self.verdict.add_breach(AT_MOST_ONCE, since, what);
+                let description =
+                    format!("bill {bill}: attempts {first} and {second} were out together");
+                self.verdict.add_breach(AT_MOST_ONCE, since, description);
             }
         }
     }
--- a/crates/testbed/src/invariant_checker/class_limits.rs
+++ b/crates/testbed/src/invariant_checker/class_limits.rs
@@ -1,5 +1,5 @@
 //! Rule 5: sessions stay at or above their class's lowest rung and within its limit for a title.
-use super::evidence::{Evidence, Session};
+use super::evidence::{Evidence, RecordedSession};
 use super::rules::ClassRule;
 use super::verdict::Verdict;
 use crate::record::{Record, Reply, Seen};
@@ -8,7 +8,7 @@
 
 const RULE: u8 = 5;
 
-/// What the limit of sessions applies to.
+/// The sessions of one class and title at one front. They share the class's limit of sessions for a title.
 #[derive(PartialEq, Eq, Hash)]
 struct SeatPool<'a> {
     front: &'a str,
@@ -17,7 +17,7 @@
 }
 
 impl<'a> SeatPool<'a> {
-    fn of(session: &Session<'a>) -> SeatPool<'a> {
+    fn of(session: &RecordedSession<'a>) -> SeatPool<'a> {
         SeatPool {
             front: session.front,
             class: session.class,
@@ -29,7 +29,7 @@
 struct Checker<'a, 'e> {
     evidence: &'e Evidence<'a>,
     verdict: &'e mut Verdict,
-    /// Names of the active sessions.
+    /// Names of the sessions that are set up or play.
     active: HashMap<SeatPool<'a>, BTreeSet<&'a str>>,
 }
 
@@ -62,11 +62,12 @@
         }
     }
 
-    fn breach(&mut self, at: Time, what: String) {
-        self.verdict.add_breach(RULE, at, what);
+    fn breach(&mut self, at: Time, description: String) {
+        self.verdict.add_breach(RULE, at, description);
     }
 
-    /// Checks a session's rung; the limits of its class where session and class are known.
+    /// Checks that a session's rung is not below its class's lowest. Returns the limits of the class; `None` where the session
+    /// or its class is unknown.
     fn check_rung(&mut self, at: Time, name: &str, rung: u8) -> Option<&'a ClassRule> {
         let class = self.evidence.session(name)?.class;
         let mut classes = self.evidence.rules.classes.iter();
@@ -76,13 +77,13 @@
         };
         let floor = rule.floor;
         if rung < floor {
-            let what = format!("session {name} at rung {rung}, under the floor {floor}");
-            self.breach(at, what);
+            let description = format!("session {name} at rung {rung}, under the floor {floor}");
+            self.breach(at, description);
         }
         Some(rule)
     }
 
-    /// Counts a new session against the limit of its class for a title.
+    /// Adds a new session and checks that its class's limit of sessions for a title is kept.
     fn check_seats(&mut self, at: Time, name: &'a str, rule: &ClassRule) {
         let Some(session) = self.evidence.session(name) else {
             return;
@@ -94,11 +95,11 @@
         seats.insert(name);
         let count = seats.len();
         if count > rule.seats as usize {
-            let what = format!(
+            let description = format!(
                 "{count} sessions of {:?}, {} seats",
                 session.title, rule.seats
             );
-            self.breach(at, what);
+            self.breach(at, description);
         }
     }
 
--- a/crates/testbed/src/invariant_checker/drain.rs
+++ b/crates/testbed/src/invariant_checker/drain.rs
@@ -1,4 +1,4 @@
-//! Rule 3: a draining or removed server gets no new session after the grace.
+//! Rule 3: a draining or removed server gets no new session after the drain grace.
 use super::evidence::Evidence;
 use super::verdict::Verdict;
 use crate::record::{Record, Seen};
@@ -9,7 +9,7 @@
 
 /// Adds the breaches of this rule to `verdict`.
 pub(super) fn check(evidence: &Evidence<'_>, verdict: &mut Verdict) {
-    // By front and server: when the front was first notified that the server takes no new sessions.
+    // When a front was first notified that a server takes no new sessions, by front and server.
     let mut unready_since: HashMap<(&str, u32), Time> = HashMap::new();
     for Record { at, seen } in evidence.records {
         match seen {
@@ -37,11 +37,11 @@
                     continue;
                 };
                 if *at > last_allowed(evidence, front, *since) + evidence.rules.tolerance {
-                    let late = at.duration_since(*since).as_millis();
-                    let what = format!(
-                        "session {name} was sent to server {server} {late} ms after its drain"
+                    let delay_ms = at.duration_since(*since).as_millis();
+                    let description = format!(
+                        "session {name} was sent to server {server} {delay_ms} ms after its drain"
                     );
-                    verdict.add_breach(RULE, *at, what);
+                    verdict.add_breach(RULE, *at, description);
                 }
             }
             _ => {}
@@ -49,8 +49,8 @@
     }
 }
 
-/// The end of the grace. A front that was stopped during it had the notice unread, so its grace begins anew when it
-/// resumes.
+/// The end of the drain grace. A front that was stopped during the grace may not have read the notification, so its grace
+/// starts again when it resumes.
 fn last_allowed(evidence: &Evidence<'_>, front: &str, since: Time) -> Time {
     let grace = evidence.rules.drain_grace;
     let end_of_grace = since + grace;
--- a/crates/testbed/src/invariant_checker/evidence.rs
+++ b/crates/testbed/src/invariant_checker/evidence.rs
@@ -1,4 +1,4 @@
-//! What several rules need from the records: sessions by name, stalls and deaths of fronts.
+//! Indexes over the records that several rules use: sessions by name, and when fronts were stopped or killed.
 use super::rules::Rules;
 use super::verdict::Verdict;
 use super::AT_MOST_ONCE;
@@ -6,8 +6,8 @@
 use crankpaddle_time::Time;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What a set-up stated about its session.
-pub(super) struct Session<'a> {
+/// A session as its set-up request described it.
+pub(super) struct RecordedSession<'a> {
     pub(super) server: u32,
     pub(super) front: &'a str,
     pub(super) bill: &'a str,
@@ -15,28 +15,32 @@
     pub(super) title: &'a str,
 }
 
-/// A time in which a front's process was stopped, both ends included.
+/// A period in which a front's process was stopped, both ends included.
 #[derive(Clone, Copy)]
 pub(super) struct Stall {
     pub(super) from: Time,
     pub(super) until: Time,
 }
 
-/// The records with indexes over them. Fronts have a number among the players and a name at the servers.
+/// The records with indexes over them.
+///
+/// Players know a front by its number, servers by its name. The two are matched through the billing reference that both
+/// record.
 pub(super) struct Evidence<'a> {
     pub(super) rules: &'a Rules,
     pub(super) records: &'a [Record],
-    sessions: HashMap<&'a str, Session<'a>>,
+    sessions: HashMap<&'a str, RecordedSession<'a>>,
     stalls_by_name: BTreeMap<&'a str, Vec<Stall>>,
     stalls_by_number: BTreeMap<u32, Vec<Stall>>,
     deaths_by_number: BTreeMap<u32, Vec<Time>>,
-    /// Numbers of fronts by the bill reference of a request they received.
+    /// Number of the front that received a request, by the billing reference of the request.
     number_by_bill: HashMap<&'a str, u32>,
+    /// Names that servers recorded for a front, by its number.
     names_by_number: BTreeMap<u32, BTreeSet<&'a str>>,
 }
 
 impl<'a> Evidence<'a> {
-    /// Indexes the records. A session name that was used for two set-ups is added to `verdict` as a breach.
+    /// Indexes the records. Adds a breach to `verdict` for each session name that was used by two set-ups.
     pub(super) fn collect(
         rules: &'a Rules,
         records: &'a [Record],
@@ -55,7 +59,7 @@
         for Record { at, seen } in records {
             evidence.index(*at, seen, verdict);
         }
-        evidence.name_stalls();
+        evidence.index_stalls_by_name();
         evidence
     }
 
@@ -73,7 +77,7 @@
                 title,
                 ..
             } => {
-                let session = Session {
+                let session = RecordedSession {
                     server: *server,
                     front,
                     bill,
@@ -104,12 +108,13 @@
                 until: Time::MAX,
             });
         } else if let Some(last) = stalls.last_mut() {
-            // Why: a resumed front first reads what arrived in the meantime.
+            // A resumed front first has to read what arrived while it was stopped.
             last.until = at + self.rules.tolerance;
         }
     }
 
-    fn name_stalls(&mut self) {
+    /// Indexes the stalls by the names under which servers know the stopped fronts.
+    fn index_stalls_by_name(&mut self) {
         for (number, stalls) in &self.stalls_by_number {
             for name in self.names_by_number.get(number).into_iter().flatten() {
                 self.stalls_by_name.entry(name).or_default().extend(stalls);
@@ -118,7 +123,7 @@
     }
 
     /// The session of a set-up, by its name at the server.
-    pub(super) fn session(&self, name: &str) -> Option<&Session<'a>> {
+    pub(super) fn session(&self, name: &str) -> Option<&RecordedSession<'a>> {
         self.sessions.get(name)
     }
 
@@ -129,9 +134,11 @@
 
     /// Whether the front was stopped at some time of `from..=until`.
     pub(super) fn was_stalled(&self, front: u32, from: Time, until: Time) -> bool {
-        self.stalls_by_number
-            .get(&front)
-            .is_some_and(|stalls| stalls.iter().any(|s| s.from <= until && s.until >= from))
+        self.stalls_by_number.get(&front).is_some_and(|stalls| {
+            stalls
+                .iter()
+                .any(|stall| stall.from <= until && stall.until >= from)
+        })
     }
 
     /// Whether the front's process was killed at some time of `from..=until`.
--- a/crates/testbed/src/invariant_checker/mod.rs
+++ b/crates/testbed/src/invariant_checker/mod.rs
@@ -1,7 +1,9 @@
-//! The six rules of a front, checked against what passed on the sockets and never against a front's own reports.
+//! Checks the six rules that fronts must keep. The only evidence is the traffic that simulated servers, the list service and
+//! players recorded at their sockets; a front's own reports are never used.
 //!
-//! Each rule has a module of its own. A stand-in takes the time where it reads, so a record can be later than its
-//! event by [`Rules::tolerance`] at most. A front whose process was stopped is excused for late actions, not for wrong ones.
+//! Each rule has a module of its own. An event is recorded when its receiver reads it, so a record can be up to
+//! [`Rules::tolerance`] later than the event. A front whose process was stopped is excused for late actions, but not for
+//! wrong ones.
 mod at_most_once;
 mod class_limits;
 mod drain;
@@ -17,10 +19,10 @@
 pub use rules::{ClassRule, RetryBudget, Rules};
 pub use verdict::{Breach, Verdict};
 
-/// Number of the rule that no paid set-up runs twice.
+/// Number of the rule that no paid set-up runs twice. Two modules report its breaches.
 const AT_MOST_ONCE: u8 = 2;
 
-/// Checks all rules on records that are in the order of their times.
+/// Checks all rules. The records must be sorted by time.
 #[must_use]
 pub fn judge(rules: &Rules, records: &[Record]) -> Verdict {
     let mut verdict = Verdict::default();
--- a/crates/testbed/src/invariant_checker/retry_budget.rs
+++ b/crates/testbed/src/invariant_checker/retry_budget.rs
@@ -11,8 +11,9 @@
 struct Checker<'a, 'e> {
     budget: RetryBudget,
     verdict: &'e mut Verdict,
-    /// By bill reference: requests without a first attempt yet.
+    /// Number of requests whose first attempt has not been sent yet, by billing reference.
     unsent_requests: HashMap<&'a str, usize>,
+    /// Number of the front that received the latest request with a billing reference.
     front_by_bill: HashMap<&'a str, u32>,
     /// Times of requests by front.
     requests: BTreeMap<u32, Vec<Time>>,
@@ -53,8 +54,12 @@
         let Some(front) = self.front_by_bill.get(bill).copied() else {
             return;
         };
-        if let Some(unsent) = self.unsent_requests.get_mut(bill).filter(|n| **n > 0) {
-            *unsent -= 1; // A first attempt is no retry.
+        if let Some(unsent) = self
+            .unsent_requests
+            .get_mut(bill)
+            .filter(|count| **count > 0)
+        {
+            *unsent -= 1; // The first attempt of a request is not a retry.
             return;
         }
         self.retries.entry(front).or_default().push(at);
@@ -62,9 +67,9 @@
         let request_count = self.count_in_window(&self.requests, front, at);
         let allowed = self.budget.floor + self.budget.ratio * request_count as f64;
         if retry_count as f64 > allowed {
-            let what =
+            let description =
                 format!("front {front}: {retry_count} further attempts, {allowed:.1} allowed");
-            self.verdict.add_breach(RULE, at, what);
+            self.verdict.add_breach(RULE, at, description);
         }
     }
 
--- a/crates/testbed/src/invariant_checker/rules.rs
+++ b/crates/testbed/src/invariant_checker/rules.rs
@@ -10,18 +10,18 @@
     pub name: String,
     /// Whether a set-up is billed, so that it may run at most once.
     pub paid: bool,
-    /// The lowest rung a session of this class may play at.
+    /// Number of the lowest rung that a session of this class may play at.
     pub floor: u8,
-    /// Sessions of one title that a front may have at the same time; 0: no limit.
+    /// Maximum number of sessions of one title at a front at the same time; 0 means no limit.
     pub seats: u32,
 }
 
 /// How many retries a front may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed in a window without regard to the requests.
+    /// Number of retries allowed in a window regardless of the number of requests.
     pub floor: f64,
-    /// Retries allowed on top for each request received in the window.
+    /// Number of additional retries allowed for each request received in the window.
     pub ratio: f64,
     /// Length of the sliding window.
     pub window: Duration,
@@ -30,26 +30,27 @@
 /// The limits of all rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// Classes in the order of their numbers.
+    /// The classes' limits; the index is the class number.
     pub classes: Vec<ClassRule>,
-    /// A server gets no new session later than this after a front was notified that it is draining or removed.
+    /// A front may send sessions to a draining or removed server for this long after it was notified.
     pub drain_grace: Duration,
     /// Length of a restarted server's slow start.
     pub slow_start_duration: Duration,
-    /// Part of the full rate that a server can take at the beginning of its slow start.
+    /// Fraction of the full set-up rate that a server accepts at the beginning of its slow start.
     pub slow_start_min_factor: f64,
-    /// A server in slow start is overloaded when it gets more than this multiple of its present rate ...
+    /// A server in slow start is overloaded by more set-ups within `overload_window` than this multiple of the rate that it
+    /// accepts at that time.
     pub overload_multiple: f64,
-    /// ... within this time.
+    /// Length of the sliding window in which the set-ups for `overload_multiple` are counted.
     pub overload_window: Duration,
-    /// The budget for retries; `None` where there is no limit.
+    /// The budget for retries of each front; `None` means no limit.
     pub retry: Option<RetryBudget>,
-    /// Tolerance for clocks and scheduling: a record may be this much later than the event.
+    /// Maximum time by which a record may be later than its event because of scheduling delays.
     pub tolerance: Duration,
 }
 
 impl Rules {
-    /// The limits that a configuration states. No configuration has a drain grace: the stand-ins' operator chooses it.
+    /// The limits of a configuration. The drain grace is a parameter because a front's configuration has no such setting.
     pub fn of(config: &Config, drain_grace: Duration, tolerance: Duration) -> Rules {
         let settings = &config.settings;
         let class_rule = |(name, class): (&String, &crankpaddle::Class)| ClassRule {
--- a/crates/testbed/src/invariant_checker/single_answer.rs
+++ b/crates/testbed/src/invariant_checker/single_answer.rs
@@ -12,12 +12,14 @@
     reply: PlayerReply,
 }
 
-/// A call as its player saw it.
+/// An open request with everything that its player received for it.
 struct Call {
     sent_at: Time,
     front: u32,
+    /// The player gives up at this time.
     deadline: Time,
     answers: Vec<CallAnswer>,
+    /// Whether the player's connection closed before an answer.
     disconnected: bool,
 }
 
@@ -26,15 +28,15 @@
     let calls = collect_calls(evidence, verdict);
     verdict.sessions = calls.len();
     for (id, call) in &calls {
-        if let Some((at, what)) = breach_of(evidence, *id, call) {
-            verdict.add_breach(RULE, at, what);
+        if let Some((at, description)) = breach_of(evidence, *id, call) {
+            verdict.add_breach(RULE, at, description);
         } else {
             count_outcome(call, verdict);
         }
     }
 }
 
-/// The calls by their id. An answer to a call that was not made is added to `verdict` as a breach.
+/// The calls by their id. Adds a breach to `verdict` for each answer to a call that was never made.
 fn collect_calls(evidence: &Evidence<'_>, verdict: &mut Verdict) -> BTreeMap<u64, Call> {
     let mut calls: BTreeMap<u64, Call> = BTreeMap::new();
     for Record { at, seen } in evidence.records {
@@ -62,8 +64,8 @@
                 if let Some(open) = calls.get_mut(call) {
                     open.answers.push(answer);
                 } else {
-                    let what = format!("an answer to call {call}, which was never made");
-                    verdict.add_breach(RULE, *at, what);
+                    let description = format!("an answer to call {call}, which was never made");
+                    verdict.add_breach(RULE, *at, description);
                 }
             }
             Seen::Disconnected { call } => {
@@ -77,12 +79,13 @@
     calls
 }
 
-/// Time and description of the call's breach, if it has one.
+/// Time and description of the breach; `None` where the call was answered once and in time, or is excused.
 fn breach_of(evidence: &Evidence<'_>, id: u64, call: &Call) -> Option<(Time, String)> {
     let tolerance = evidence.rules.tolerance;
     match &call.answers[..] {
         [] => {
-            // Why: a killed front has no pending answers; a call may be recorded just after the kill that it met.
+            // A killed front owes no answers. Its death can be recorded shortly before a call that was sent to it, so the
+            // tolerance applies here too.
             let earliest_death = call.sent_at - tolerance;
             let excused =
                 call.disconnected || evidence.died(call.front, earliest_death, call.deadline);
@@ -93,9 +96,10 @@
             if answer.at <= call.deadline + tolerance || excused {
                 return None;
             }
-            let late = answer.at.duration_since(call.deadline).as_millis();
-            let what = format!("call {id} was answered {late} ms after its viewer gave up");
-            Some((answer.at, what))
+            let delay_ms = answer.at.duration_since(call.deadline).as_millis();
+            let description =
+                format!("call {id} was answered {delay_ms} ms after its viewer gave up");
+            Some((answer.at, description))
         }
         [_, second, ..] => {
             let count = call.answers.len();
--- a/crates/testbed/src/invariant_checker/slow_start.rs
+++ b/crates/testbed/src/invariant_checker/slow_start.rs
@@ -1,4 +1,5 @@
-//! Rule 4: the fronts together don't overload a server in slow start, as far as they knew of its restart.
+//! Rule 4: the fronts together must not overload a server in slow start. Set-ups count against them only if most of them came
+//! from fronts that knew of the restart.
 use super::evidence::Evidence;
 use super::rules::Rules;
 use super::verdict::Verdict;
@@ -10,8 +11,9 @@
 const RULE: u8 = 4;
 
 /// The latest start of a server's process.
-struct Start {
+struct ProcessStart {
     at: Time,
+    /// Maximum number of streams.
     places: f64,
 }
 
@@ -23,10 +25,11 @@
 struct Checker<'a, 'e> {
     evidence: &'e Evidence<'a>,
     verdict: &'e mut Verdict,
-    starts: HashMap<u32, Start>,
-    /// Set-ups by server within the overload window.
+    starts: HashMap<u32, ProcessStart>,
+    /// Set-ups within the overload window, by server.
     recent_set_ups: HashMap<u32, Vec<SentSetUp<'a>>>,
-    /// Servers and fronts that know its present incarnation, or the end of the previous one.
+    /// Pairs of a server and a front that knows of its restart: the list service sent the server's state to the front, or a
+    /// connection from the front to it was reset.
     informed: BTreeSet<(u32, &'a str)>,
 }
 
@@ -49,7 +52,7 @@
         match seen {
             Seen::Started { server, places } => {
                 let places = *places;
-                self.starts.insert(*server, Start { at, places });
+                self.starts.insert(*server, ProcessStart { at, places });
                 self.recent_set_ups.remove(server);
             }
             Seen::Listed { front, server, .. } => {
@@ -65,8 +68,8 @@
             }
             Seen::SetUp { server, front, .. } => self.on_set_up(at, *server, front),
             Seen::Fell { server } => {
-                let what = format!("cold server {server} fell over");
-                self.verdict.add_breach(RULE, at, what);
+                let description = format!("cold server {server} fell over");
+                self.verdict.add_breach(RULE, at, description);
             }
             _ => {}
         }
@@ -92,19 +95,19 @@
             .count();
         if count as f64 > allowed && 2 * informed_count > count {
             sent.clear();
-            let what =
+            let description =
                 format!("cold server {server} was sent {count} set-ups, {allowed:.1} allowed");
-            self.verdict.add_breach(RULE, at, what);
+            self.verdict.add_breach(RULE, at, description);
         }
     }
 }
 
-/// Set-ups that a server of this age can take within the overload window.
+/// Number of set-ups that a server accepts within the overload window, `age` after its start.
 fn allowed_set_ups(rules: &Rules, places: f64, age: Duration) -> f64 {
     let slow_start = nanoseconds(rules.slow_start_duration) as f64;
-    let elapsed_part = nanoseconds(age) as f64 / slow_start;
+    let elapsed_fraction = nanoseconds(age) as f64 / slow_start;
     let warm_up_progress =
-        rules.slow_start_min_factor + (1.0 - rules.slow_start_min_factor) * elapsed_part;
+        rules.slow_start_min_factor + (1.0 - rules.slow_start_min_factor) * elapsed_fraction;
     let rate = places / slow_start * warm_up_progress;
     rules.overload_multiple * rate * nanoseconds(rules.overload_window) as f64 + 1.0
 }
--- a/crates/testbed/src/invariant_checker/verdict.rs
+++ b/crates/testbed/src/invariant_checker/verdict.rs
@@ -10,28 +10,28 @@
 pub struct Breach {
     /// Number of the rule, 1 to 6.
     pub rule: u8,
-    /// Time of the breach.
+    /// Time of the record that completes the breach; for a missing answer, the player's deadline.
     pub at: Time,
-    /// Description of the breach.
+    /// Description that names the call, bill, session, server or front involved.
     pub what: String,
 }
 
-/// What the records show.
+/// The result of checking the records: counts of calls and all breaches.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Calls for a session.
+    /// Number of open requests that players sent.
     pub sessions: usize,
-    /// Calls with exactly one answer in time, or closed by the player before one.
+    /// Number of calls without a breach of rule 1: answered exactly once and in time, or excused.
     pub answered_once: usize,
-    /// Bill references that were billed more than once.
+    /// Number of billing references that were billed more than once.
     pub billed_twice: usize,
-    /// Calls whose session plays.
+    /// Number of calls that were answered with a playing session.
     pub played: usize,
-    /// Calls that were rejected.
+    /// Number of calls that were rejected before a set-up ran.
     pub refused: usize,
-    /// Calls that failed.
+    /// Number of calls that failed; their set-ups may have run.
     pub failed: usize,
-    /// Breaches in the order of time.
+    /// The breaches of all rules, sorted by time.
     pub breaches: Vec<Breach>,
 }
 
@@ -43,8 +43,12 @@
         RULE_COUNT - broken_rules.len()
     }
 
-    pub(super) fn add_breach(&mut self, rule: u8, at: Time, what: String) {
-        self.breaches.push(Breach { rule, at, what });
+    pub(super) fn add_breach(&mut self, rule: u8, at: Time, description: String) {
+        self.breaches.push(Breach {
+            rule,
+            at,
+            what: description,
+        });
     }
 }
 
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,22 +1,24 @@
-//! Records: what passed on the sockets, and when. Their JSON form is that of recordings on disk.
+//! Records of the events at the sockets of simulated servers, the list service and players, with their times.
+//!
+//! A recording on disk has one record a line, as JSON. The serialized names are those of earlier recordings.
 use crankpaddle_net::clock;
 use crankpaddle_time::Time;
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How a set-up ended at a stand-in server.
+/// How a set-up ended at a simulated server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// It plays.
+    /// The session plays.
     Plays,
-    /// Rejected for lack of capacity: it never ran.
+    /// Rejected for lack of capacity; the set-up never ran.
     Full,
-    /// Failed.
+    /// The server answered with an error; the set-up may have run.
     Error,
-    /// The stand-in reset the connection.
+    /// The server reset the connection before an answer; the set-up may have run.
     Reset,
-    /// The front closed the connection before an answer.
+    /// The front closed the connection before an answer, or had already ended the session; the set-up may have run.
     Left,
 }
 
@@ -24,32 +26,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlayerReply {
-    /// It plays.
+    /// The session plays.
     Plays,
-    /// Rejected: nothing ran.
+    /// Rejected; no set-up ran.
     Refused,
-    /// Failed; the set-up may have run.
+    /// Failed; a set-up may have run.
     Failed,
-    /// Another connection of the player has the session.
+    /// Another connection of the player took over the session.
     Superseded,
-    /// An error of the call itself.
+    /// The front answered the call itself with an error.
     Error,
 }
 
-/// One event.
+/// An event at a socket, or a change of a process that the testbed made.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Seen {
     /// A player sent an open request to a front.
-    #[serde(rename = "asked")] // As recordings on disk have it.
+    #[serde(rename = "asked")] // The name in recordings on disk.
     OpenSent {
-        /// The call, unique in a run.
+        /// Number of the call, unique in a run.
         call: u64,
-        /// Which front, by its number.
+        /// Number of the front.
         front: u32,
-        /// What the session is billed under.
+        /// The billing reference of the session.
         bill: String,
-        /// Class by number.
+        /// Number of the class.
         class: u8,
         /// The player gives up at this time.
         #[serde(rename = "gives_up", with = "time_as_nanoseconds")]
@@ -58,110 +60,110 @@
     /// A player received the answer to a call.
     #[serde(rename = "told")]
     CallAnswered {
-        /// The call.
+        /// Number of the answered call.
         call: u64,
-        /// The answer.
+        /// How the call was answered.
         #[serde(rename = "told")]
         reply: PlayerReply,
     },
-    /// A player's connection closed before the answer to a call (by the player, or because the front died): no answer is due
-    /// on it.
+    /// A player's connection closed before the answer to a call, because the player closed it or the front died. No answer is
+    /// due any more.
     #[serde(rename = "broke")]
     Disconnected {
-        /// The call.
+        /// Number of the call that stays without an answer.
         call: u64,
     },
     /// A set-up was completely received by a server.
     SetUp {
-        /// The session's name there; unique.
+        /// The session's name at the server, unique in a run.
         name: String,
-        /// The server.
+        /// Number of the server.
         server: u32,
-        /// The front's name for itself.
+        /// The name that the front states for itself.
         front: String,
-        /// What it is billed under.
+        /// The billing reference of the session.
         bill: String,
-        /// Class by name.
+        /// Name of the class.
         class: String,
-        /// Title by name.
+        /// Name of the title.
         title: String,
-        /// The rung.
+        /// Number of the rung that the session starts at.
         rung: u8,
         /// The viewer's zone; empty where the front did not state it.
         #[serde(default)]
         zone: String,
     },
-    /// A set-up was billed: it ran.
+    /// A set-up was billed, so it ran.
     Billed {
-        /// The session's name.
+        /// The session's name at the server.
         name: String,
-        /// What it is billed under.
+        /// The billing reference of the session.
         bill: String,
     },
-    /// A server reported to the front, which had ended this set-up, that it never ran and never will.
+    /// A server stated to a front that a set-up, which the front had ended, never ran and never will.
     Disowned {
-        /// The session's name.
+        /// The session's name at the server.
         name: String,
     },
     /// A set-up ended at the server.
     Replied {
-        /// The session's name.
+        /// The session's name at the server.
         name: String,
-        /// How it ended.
+        /// How the set-up ended.
         reply: Reply,
     },
     /// A rung was set for a session.
     Rung {
-        /// The session's name.
+        /// The session's name at the server.
         name: String,
-        /// The rung.
+        /// Number of the new rung.
         rung: u8,
     },
     /// A session ended at its server.
     Ended {
-        /// The session's name.
+        /// The session's name at the server.
         name: String,
-        /// Media bytes that the server sent for it.
+        /// Number of media bytes that the server sent for the session.
         bytes: u64,
     },
-    /// A player read so many media bytes of a session.
+    /// A player stopped reading the media of a session.
     Fetched {
-        /// The session's name.
+        /// The session's name at the server.
         name: String,
-        /// Bytes.
+        /// Number of media bytes that the player read.
         bytes: u64,
     },
-    /// A server's process started: its slow start begins.
+    /// A server's process started, and with it the server's slow start.
     Started {
-        /// The server.
+        /// Number of the server.
         server: u32,
-        /// Streams that it runs at most.
+        /// Maximum number of streams that the server runs.
         places: f64,
     },
     /// A server was overloaded during its slow start and stopped.
     Fell {
-        /// The server.
+        /// Number of the server.
         server: u32,
     },
     /// The list service sent a server's state to a front.
     Listed {
-        /// The front's name for itself.
+        /// The name that the front states for itself.
         front: String,
-        /// The server.
+        /// Number of the server.
         server: u32,
-        /// Whether new work may go there.
+        /// Whether the server takes new sessions.
         ready: bool,
     },
-    /// A front's process was killed: no answer is due to the requests it had received.
+    /// A front's process was killed. No answer is due to the requests that it had received.
     Died {
-        /// Which front, by its number.
+        /// Number of the front.
         front: u32,
     },
-    /// A front's process is stopped from this time on (`true`), or resumed.
+    /// A front's process was stopped by a signal, or resumed.
     Stalled {
-        /// Which front, by its number.
+        /// Number of the front.
         front: u32,
-        /// Whether it is stopped.
+        /// `true` where the process was stopped, `false` where it was resumed.
         #[serde(rename = "stands")]
         stopped: bool,
     },
@@ -170,15 +172,15 @@
 /// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When it happened, on the test bed's one clock.
+    /// When the event was recorded, on the clock that all parts of the testbed share.
     #[serde(with = "time_as_nanoseconds")]
     pub at: Time,
-    /// The event.
+    /// The recorded event; its fields are flattened into the JSON object.
     #[serde(flatten)]
     pub seen: Seen,
 }
 
-/// The form of times in recordings: a number of nanoseconds.
+/// Serializes times as a number of nanoseconds.
 mod time_as_nanoseconds {
     use crankpaddle_time::Time;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -194,19 +196,19 @@
     }
 }
 
-/// Collects the records of all stand-ins. Copies share them.
+/// Collects the records of all parts of a run. Clones share the same records.
 #[derive(Clone, Default)]
 pub struct Recorder(Arc<Mutex<Vec<Record>>>);
 
 impl Recorder {
-    /// Adds an event with the present time.
+    /// Records an event with the current time.
     pub fn see(&self, seen: Seen) {
         let mut records = self.lock();
         let at = clock::now();
         records.push(Record { at, seen });
     }
 
-    /// All records so far, in the order of their times.
+    /// All records so far, sorted by time.
     #[must_use]
     pub fn all(&self) -> Vec<Record> {
         let mut records = self.lock().clone();
