--- a/crates/testbed/src/crossing.rs
+++ b/crates/testbed/src/crossing.rs
@@ -1,4 +1,4 @@
-//! Traffic between zones and the utility of a day, by the servers' own records.
+//! Computes cross-zone traffic and the utility of a scenario from the servers' records.
 use crate::record::{Record, Reply, Seen};
 use crankpaddle_config::Config;
 use crankpaddle_time::{nanoseconds, Time};
@@ -7,51 +7,51 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
-/// A session that got at least this part of its rate earns its full utility.
+/// A session that received at least this fraction of the bytes that its rungs need earns its full utility.
 const FULL_DELIVERY: f64 = 0.98;
 
-/// A direction of traffic and the class of its sessions, by name.
+/// A flow of media: from a zone to a zone, for the sessions of one class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FlowKey {
-    /// Zone of the server.
+    /// Name of the server's zone.
     pub from: String,
-    /// Zone of the viewer.
+    /// Name of the viewer's zone; empty where the front did not state it.
     pub to: String,
-    /// Class of the session.
+    /// Name of the sessions' class.
     pub class: String,
 }
 
-/// Traffic between zones by the kind of service, kB a second.
+/// Cross-zone traffic of paid and unpaid sessions, kB a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CrossZoneKb {
-    /// Of paid service.
+    /// Rate of the sessions of paid classes.
     pub paid: f64,
-    /// Of the rest.
+    /// Rate of all other sessions.
     pub unpaid: f64,
 }
 
-/// The highest mean rates of traffic between zones, kB a second.
+/// The highest mean rates of cross-zone traffic, kB a second. The two peaks may be at different times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeakKb {
-    /// Of all traffic.
+    /// Peak of all cross-zone traffic.
     pub all: f64,
-    /// Of what is not paid for.
+    /// Peak of the cross-zone traffic of unpaid sessions.
     pub unpaid: f64,
 }
 
-/// A day's traffic between zones and its utility.
+/// The cross-zone traffic and the utility of a scenario.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Crossed {
-    /// The traffic between zones in each second of the clock, at the rungs in force.
+pub struct CrossZoneTraffic {
+    /// Cross-zone traffic by second of the records' clock, computed from the sessions' rungs at that time.
     pub seconds: BTreeMap<u64, CrossZoneKb>,
-    /// Utility by class: seconds watched, times the rung's utility, times the class's priority weight; less where fewer
-    /// bytes were sent than the rung needs.
+    /// Utility by name of the class: seconds watched, times the rung's utility, times the class's priority weight. It is reduced
+    /// in proportion where fewer bytes were sent than the rungs need.
     pub utility: BTreeMap<String, f64>,
-    /// Media bytes of each flow, also within a zone.
+    /// Number of media bytes sent for each flow, including the flows within a zone.
     pub bytes: BTreeMap<FlowKey, u64>,
 }
 
-/// A time at one rung.
+/// A period in which a session played at one rung.
 struct RungPeriod {
     from: Time,
     to: Time,
@@ -64,17 +64,17 @@
     }
 }
 
-struct Session<'a> {
+struct PlayedSession<'a> {
     server: u32,
     zone: &'a str,
     class: usize,
     rung: u8,
-    /// Since when it plays at this rung; `None` before it plays.
+    /// Start of the current period at this rung; `None` before the session plays.
     playing_since: Option<Time>,
     periods: Vec<RungPeriod>,
 }
 
-impl Session<'_> {
+impl PlayedSession<'_> {
     fn change_rung(&mut self, at: Time, rung: u8) {
         if let Some(from) = self.playing_since.replace(at).filter(|from| *from < at) {
             self.end_period(from, at);
@@ -88,26 +88,26 @@
     }
 }
 
-/// A duration in seconds, from its whole nanoseconds.
+/// Converts a duration to seconds.
 fn seconds(duration: Duration) -> f64 {
     nanoseconds(duration) as f64 / NANOSECONDS_PER_SECOND as f64
 }
 
-/// The second of the clock that a time is in.
+/// Number of the second that a time is in.
 fn second_of(time: Time) -> u64 {
     time.as_nanos() / NANOSECONDS_PER_SECOND
 }
 
-/// The time at which a second of the clock begins.
+/// The start of a second.
 fn start_of(second: u64) -> Time {
     Time::ZERO + Duration::from_secs(second)
 }
 
-/// Computes the traffic from records in the order of their times.
+/// Computes traffic and utility from records that are sorted by time. Only sessions that have ended are counted.
 #[must_use]
-pub fn crossed(records: &[Record], config: &Config) -> Crossed {
-    let mut all = Crossed::default();
-    let mut sessions: HashMap<&str, Session<'_>> = HashMap::new();
+pub fn crossed(records: &[Record], config: &Config) -> CrossZoneTraffic {
+    let mut traffic = CrossZoneTraffic::default();
+    let mut sessions: HashMap<&str, PlayedSession<'_>> = HashMap::new();
     for Record { at, seen } in records {
         match seen {
             Seen::SetUp { name, .. } => {
@@ -133,17 +133,17 @@
                     if let Some(from) = session.playing_since {
                         session.end_period(from, *at);
                     }
-                    all.add(&session, *bytes, config);
+                    traffic.add_session(&session, *bytes, config);
                 }
             }
             _ => {}
         }
     }
-    all
+    traffic
 }
 
-/// The session of a set-up, where its class is known.
-fn new_session<'a>(seen: &'a Seen, config: &Config) -> Option<Session<'a>> {
+/// The session of a set-up record; `None` where the class is unknown.
+fn new_session<'a>(seen: &'a Seen, config: &Config) -> Option<PlayedSession<'a>> {
     let Seen::SetUp {
         server,
         class,
@@ -155,7 +155,7 @@
         return None;
     };
     let class = config.classes.iter().position(|name| name == class)?;
-    Some(Session {
+    Some(PlayedSession {
         server: *server,
         zone,
         class,
@@ -165,16 +165,17 @@
     })
 }
 
-impl Crossed {
-    fn add(&mut self, session: &Session<'_>, bytes: u64, config: &Config) {
+impl CrossZoneTraffic {
+    /// Adds a session that has ended, for which `bytes` media bytes were sent.
+    fn add_session(&mut self, session: &PlayedSession<'_>, bytes: u64, config: &Config) {
         let settings = &config.settings;
         let class = &settings.classes[session.class];
         let class_name = &config.classes[session.class];
-        let of_rung = |values: &[f64], rung: u8| {
+        let value_at = |values: &[f64], rung: u8| {
             let value = values.get(usize::from(rung));
             value.copied().unwrap_or(0.0)
         };
-        let kb = |rung: u8| of_rung(&settings.rung_kb, rung) * class.rate_factor;
+        let rate_kb = |rung: u8| value_at(&settings.rung_kb, rung) * class.rate_factor;
         let from = &config.zones[session.server as usize % config.zones.len()];
         let flow = FlowKey {
             from: from.clone(),
@@ -185,10 +186,10 @@
         let periods = session.periods.iter();
         let needed_bytes: f64 = periods
             .clone()
-            .map(|period| period.seconds() * kb(period.rung) * 1000.0)
+            .map(|period| period.seconds() * rate_kb(period.rung) * 1000.0)
             .sum();
         let earned: f64 = periods
-            .map(|period| period.seconds() * of_rung(&settings.rung_utility, period.rung))
+            .map(|period| period.seconds() * value_at(&settings.rung_utility, period.rung))
             .sum();
         let delivered = (bytes as f64 / (needed_bytes * FULL_DELIVERY).max(1.0)).min(1.0);
         *self.utility.entry(class_name.clone()).or_default() +=
@@ -198,53 +199,56 @@
         }
         let paid = class.idempotency == crankpaddle::Idempotency::AtMostOnce;
         for period in &session.periods {
-            self.add_period(period, kb(period.rung), paid);
+            self.add_period(period, rate_kb(period.rung), paid);
         }
     }
 
-    /// Adds the traffic of a period between zones to each of its seconds.
-    fn add_period(&mut self, period: &RungPeriod, kb: f64, paid: bool) {
+    /// Adds a period's cross-zone traffic at `rate_kb` to each second of the period.
+    fn add_period(&mut self, period: &RungPeriod, rate_kb: f64, paid: bool) {
         for second in second_of(period.from)..=second_of(period.to) {
             let start = start_of(second);
             let end = start + SECOND;
-            let part = end.min(period.to).duration_since(start.max(period.from));
+            let duration_in_second = end.min(period.to).duration_since(start.max(period.from));
             let traffic = self.seconds.entry(second).or_default();
             let sum = if paid {
                 &mut traffic.paid
             } else {
                 &mut traffic.unpaid
             };
-            *sum += kb * nanoseconds(part) as f64 / NANOSECONDS_PER_SECOND as f64;
+            *sum +=
+                rate_kb * nanoseconds(duration_in_second) as f64 / NANOSECONDS_PER_SECOND as f64;
         }
     }
 
-    /// The highest mean rates over `over` seconds within two times.
+    /// The highest mean rates over any `window_seconds` seconds from `from` to `to`.
     #[must_use]
-    pub fn peak(&self, from: Time, to: Time, over: u64) -> PeakKb {
+    pub fn peak(&self, from: Time, to: Time, window_seconds: u64) -> PeakKb {
         let at = |second: u64| self.seconds.get(&second).copied().unwrap_or_default();
-        let mean = |second: u64, of: &dyn Fn(CrossZoneKb) -> f64| {
-            (second..second + over).map(|s| of(at(s))).sum::<f64>() / over.max(1) as f64
+        let mean = |second: u64, rate_of: &dyn Fn(CrossZoneKb) -> f64| {
+            let window = second..second + window_seconds;
+            window.map(|second| rate_of(at(second))).sum::<f64>() / window_seconds.max(1) as f64
         };
-        let seconds = second_of(from)..second_of(to).saturating_sub(over.saturating_sub(1));
-        let none = PeakKb {
+        let seconds =
+            second_of(from)..second_of(to).saturating_sub(window_seconds.saturating_sub(1));
+        let no_traffic = PeakKb {
             all: 0.0,
             unpaid: 0.0,
         };
-        seconds.fold(none, |peak, second| PeakKb {
+        seconds.fold(no_traffic, |peak, second| PeakKb {
             all: mean(second, &|kb| kb.paid + kb.unpaid).max(peak.all),
             unpaid: mean(second, &|kb| kb.unpaid).max(peak.unpaid),
         })
     }
 
-    /// Seconds after `after` until the mean rate over each `over` seconds that follow, up to `to`, is at most `kb`; `None`
-    /// if it never is.
+    /// Number of seconds after `after` from which on, until `to`, the mean rate over any `window_seconds` seconds is at most `kb`.
+    /// `None` where it never is.
     #[must_use]
-    pub fn below(&self, kb: f64, after: Time, to: Time, over: u64) -> Option<u64> {
-        let last = second_of(to).saturating_sub(over);
+    pub fn below(&self, kb: f64, after: Time, to: Time, window_seconds: u64) -> Option<u64> {
+        let last = second_of(to).saturating_sub(window_seconds);
         let first = second_of(after);
         (first..last)
-            .find(|s| self.peak(start_of(*s), to, over).all <= kb)
-            .map(|s| s - first)
+            .find(|second| self.peak(start_of(*second), to, window_seconds).all <= kb)
+            .map(|second| second - first)
     }
 }
 
--- a/crates/testbed/src/crossing/tests.rs
+++ b/crates/testbed/src/crossing/tests.rs
@@ -1,17 +1,20 @@
 use super::*;
 use crate::script::{fleet_config, FLEET};
 
-#[test]
-fn rates_utility_and_flows_follow_from_rungs_times_and_bytes() {
-    let config = fleet_config(FLEET).unwrap();
-    let at = |second: u64, seen| Record {
+fn at(second: u64, seen: Seen) -> Record {
+    Record {
         at: start_of(second),
         seen,
-    };
+    }
+}
+
+/// A paid session of a viewer in the north at a server in the south. Its rungs need 28 kB/s for 10 s and then 140 kB/s for
+/// 10 s; half of these bytes are sent.
+fn session_records() -> [Record; 4] {
     let name = || "a".to_owned();
     let set_up = Seen::SetUp {
         name: name(),
-        server: 1, // In the south.
+        server: 1, // Servers with odd numbers are in the zone "south".
         front: "f".into(),
         bill: "b".into(),
         class: "licensed-view".into(),
@@ -19,47 +22,54 @@
         rung: 0,
         zone: "north".into(),
     };
-    // 28 kB/s for 10 s, then 140 kB/s for 10 s; half of it is delivered.
-    let records = [
+    let plays = Seen::Replied {
+        name: name(),
+        reply: Reply::Plays,
+    };
+    let new_rung = Seen::Rung {
+        name: name(),
+        rung: 3,
+    };
+    let ended = Seen::Ended {
+        name: name(),
+        bytes: 840_000,
+    };
+    [
         at(100, set_up),
-        at(
-            101,
-            Seen::Replied {
-                name: name(),
-                reply: Reply::Plays,
-            },
-        ),
-        at(
-            111,
-            Seen::Rung {
-                name: name(),
-                rung: 3,
-            },
-        ),
-        at(
-            121,
-            Seen::Ended {
-                name: name(),
-                bytes: 840_000,
-            },
-        ),
-    ];
-    let all = crossed(&records, &config);
-    let close = |a: f64, b: f64| (a - b).abs() < 1e-6 * b.max(1.0);
-    assert!(close(all.seconds[&105].paid, 28.0) && close(all.seconds[&115].paid, 140.0));
-    assert!(close(all.peak(start_of(100), start_of(130), 2).all, 140.0));
-    assert_eq!(all.peak(start_of(100), start_of(130), 2).unpaid, 0.0);
-    assert_eq!(all.below(50.0, start_of(105), start_of(130), 1), Some(16));
+        at(101, plays),
+        at(111, new_rung),
+        at(121, ended),
+    ]
+}
+
+#[test]
+fn rates_utility_and_flows_are_computed_from_records() {
+    let config = fleet_config(FLEET).unwrap();
+    let traffic = crossed(&session_records(), &config);
+    let close = |actual: f64, expected: f64| (actual - expected).abs() < 1e-6 * expected.max(1.0);
+    assert!(close(traffic.seconds[&105].paid, 28.0) && close(traffic.seconds[&115].paid, 140.0));
+    assert!(close(
+        traffic.peak(start_of(100), start_of(130), 2).all,
+        140.0
+    ));
+    assert_eq!(traffic.peak(start_of(100), start_of(130), 2).unpaid, 0.0);
     assert_eq!(
-        all.below(10.0, start_of(105), start_of(121), 1),
+        traffic.below(50.0, start_of(105), start_of(130), 1),
+        Some(16)
+    );
+    assert_eq!(
+        traffic.below(10.0, start_of(105), start_of(121), 1),
         None,
-        "it never is"
+        "the rate is still above 10 kB/s at the end"
     );
-    let whole = 2.0 * (10.0 * 0.25 + 10.0 * 0.83);
+    let full_utility = 2.0 * (10.0 * 0.25 + 10.0 * 0.83);
     assert!(
-        close(all.utility["licensed-view"], whole * 0.5 / FULL_DELIVERY),
+        close(
+            traffic.utility["licensed-view"],
+            full_utility * 0.5 / FULL_DELIVERY
+        ),
         "{:?}",
-        all.utility
+        traffic.utility
     );
-    assert_eq!(all.bytes.values().sum::<u64>(), 840_000);
+    assert_eq!(traffic.bytes.values().sum::<u64>(), 840_000);
 }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,10 +1,10 @@
-//! Plays a case of a fleet with processes: fronts that know each other over a simulated network of sockets, stand-in servers,
-//! a list service and players. The invariant checker judges what passed on the sockets.
+//! Plays a fleet case with front processes. The fronts form a membership over a UDP proxy that simulates network faults;
+//! servers, list service and players are simulated in this process. The invariant checker checks the recorded events.
 //!
-//! - `processes`: the fronts' processes;
+//! - `processes`: starts, kills, stops and ends the fronts' processes;
 //! - `power`: power losses of hosts;
-//! - `arrivals`: the players that come;
-//! - `cost`: processor time and latency of the fronts.
+//! - `arrivals`: starts players until the case is over;
+//! - `cost`: processor time and answer latency of the fronts.
 mod arrivals;
 mod cost;
 mod power;
@@ -14,12 +14,12 @@
 pub use crate::host_faults::Memory;
 use crate::invariant_checker::{judge, Rules, Verdict};
 use crate::membership_poll::MembershipPoll;
-use crate::player::{Finder, Habits, PlayerPool};
+use crate::player::{FrontFinder, PlayerBehavior, PlayerPool};
 use crate::process::Process;
 use crate::record::{Record, Recorder, Seen};
 use crate::scenario_runner::{habits, DRAIN_GRACE, TIMING_TOLERANCE};
 use crate::script::Day;
-use crate::stage::Stage;
+use crate::stage::SimulatedBackend;
 use crate::udp_proxy::{write_key, PeerNetwork};
 use crate::wind_down::{wait_for_players, wait_for_streams};
 use arrivals::Arrivals;
@@ -37,78 +37,80 @@
 use std::time::Duration;
 
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
-/// After the case the players have this long to leave.
+/// Time for all players to leave after the end of the case.
 const PLAYERS_LEAVE_WITHIN: Duration = Duration::from_secs(40);
 
-/// How a case is played.
+/// How a fleet case is played.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program that runs a front: called as `EXE front -c FILE`.
+    /// The program that runs a front; it is called as `EXE front -c FILE`.
     pub exe: PathBuf,
-    /// The other build, where two are played against each other.
+    /// The other build for cases in which fronts of two builds form a fleet; `None` where all fronts run `exe`.
     pub other: Option<PathBuf>,
-    /// Seed of everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Directory for configurations, cached lists and the fronts' logs.
+    /// Directory for the fronts' configurations, cached endpoint lists, stores and logs.
     pub dir: PathBuf,
-    /// Number of fronts.
+    /// Number of front processes.
     pub fronts: u32,
-    /// Worker threads of each front.
+    /// Number of worker threads of each front.
     pub workers: u32,
-    /// Time between two probes, as the configuration states it.
+    /// Time between two probes of a front's peers, as a value of its configuration.
     pub probe_every: String,
-    /// Whether fronts know of each other; claims about members hold only if they do.
+    /// Whether the fronts form a membership. Claims about members can hold only if they do.
     pub peers: bool,
     /// What fronts persist over a power loss.
     pub memory: Memory,
 }
 
-/// What a case showed.
+/// The results of a fleet case.
 #[derive(Debug)]
 pub struct Outcome {
     /// The result of the case's claims.
     pub played: CaseResult,
     /// The result of the invariant checker.
     pub verdict: Verdict,
-    /// What went wrong outside both: fronts that ended badly, membership changes that were missed.
+    /// Descriptions of what went wrong outside claims and rules: fronts that ended with an error, streams left at servers,
+    /// membership changes that were missed.
     pub faults: Vec<String>,
-    /// All records of sessions.
+    /// All records, sorted by time.
     pub records: Vec<Record>,
-    /// What the fronts cost.
+    /// Processor time and answer latency of the fronts.
     pub cost: Cost,
 }
 
 impl Outcome {
-    /// Whether all claims and rules held and nothing else went wrong.
+    /// Whether all claims held, all rules were kept and nothing else went wrong.
     #[must_use]
     pub fn good(&self) -> bool {
-        let (kept, all) = self.played.satisfied_claims();
-        kept == all && self.verdict.breaches.is_empty() && self.faults.is_empty()
+        let (satisfied, total) = self.played.satisfied_claims();
+        satisfied == total && self.verdict.breaches.is_empty() && self.faults.is_empty()
     }
 }
 
-/// The fleet of processes. Fronts are numbered from 0.
-struct Harness<'a> {
+/// A cluster of front processes with everything that they run against. Fronts are numbered from 0.
+struct ProcessCluster<'a> {
     plan: &'a Plan,
-    stage: &'a Stage,
-    /// Fronts that the others know from their configuration.
+    backend: &'a SimulatedBackend,
+    /// Numbers of the fronts that the configurations of all fronts name as seeds of the membership.
     seeds: Vec<usize>,
-    /// The key of the fleet; `None` where the fronts don't know of each other.
+    /// File with the membership key of the fleet; `None` where the fronts don't form a membership.
     key: Option<PathBuf>,
     network: PeerNetwork,
     membership_poll: MembershipPoll,
-    /// `None` where a front does not run.
+    /// The process of each front; `None` where the front does not run.
     processes: Vec<Option<Process>>,
+    /// Whether each front's process is stopped by a signal.
     stopped: Vec<bool>,
-    /// Fronts that run the other build from their next start on.
-    others: Vec<bool>,
-    began: Time,
-    /// The hosts, where the case has power losses.
+    /// Whether each front runs the other build from its next start on.
+    uses_other_build: Vec<bool>,
+    started_at: Time,
+    /// The fronts' hosts; `None` where the case has no power losses.
     hosts: Option<Hosts>,
     players: Arc<PlayerPool>,
 }
 
-impl Cluster for Harness<'_> {
+impl Cluster for ProcessCluster<'_> {
     fn fronts(&self) -> usize {
         self.processes.len()
     }
@@ -123,23 +125,23 @@
 
     fn act(&mut self, action: &Action) -> Result<(), ActionError> {
         let size = self.processes.len();
-        let of = |fronts: &Fronts| fronts.of(size);
+        let numbers = |fronts: &Fronts| fronts.of(size);
         match action {
-            Action::Start(fronts) => self.start(&of(fronts)).map_err(ActionError::Io)?,
-            Action::Kill(fronts) => self.kill(&of(fronts)).map_err(ActionError::Io)?,
+            Action::Start(fronts) => self.start(&numbers(fronts)).map_err(ActionError::Io)?,
+            Action::Kill(fronts) => self.kill(&numbers(fronts)).map_err(ActionError::Io)?,
             Action::ShutDown(fronts) => {
-                let faults = self.end(&of(fronts)).map_err(ActionError::Io)?;
+                let faults = self.end(&numbers(fronts)).map_err(ActionError::Io)?;
                 if !faults.is_empty() {
                     return Err(ActionError::Faults(faults));
                 }
             }
-            Action::Pause(fronts) => self.stop(&of(fronts), true),
-            Action::Resume(fronts) => self.stop(&of(fronts), false),
+            Action::Pause(fronts) => self.set_stopped(&numbers(fronts), true),
+            Action::Resume(fronts) => self.set_stopped(&numbers(fronts), false),
             Action::Restart { fronts, after } => {
-                let which = of(fronts);
-                self.kill(&which).map_err(ActionError::Io)?;
+                let restarted = numbers(fronts);
+                self.kill(&restarted).map_err(ActionError::Io)?;
                 self.run(*after);
-                self.start(&which).map_err(ActionError::Io)?;
+                self.start(&restarted).map_err(ActionError::Io)?;
             }
             Action::SetNetwork { .. }
             | Action::Partition { .. }
@@ -151,14 +153,15 @@
                 });
             }
             Action::SelectBuild { fronts, build } => {
-                for front in of(fronts) {
-                    self.others[front] = *build == Build::Other;
+                for front in numbers(fronts) {
+                    self.uses_other_build[front] = *build == Build::Other;
                 }
             }
-            Action::Host(action) => self.power(action).map_err(ActionError::Io)?,
+            Action::Host(action) => self.run_host_action(action).map_err(ActionError::Io)?,
             Action::WriteEntry { .. } => {
-                let what = "no front writes on the board yet; play it with --virtual";
-                return Err(ActionError::Unsupported(what.to_owned()));
+                let reason =
+                    "front processes do not write gossip entries yet; play the case with --virtual";
+                return Err(ActionError::Unsupported(reason.to_owned()));
             }
         }
         Ok(())
@@ -182,7 +185,7 @@
 
     fn recovery_progress(&self, paid: bool) -> Option<RecoveryProgress> {
         self.hosts.as_ref()?;
-        let counts = self.lost(paid);
+        let counts = self.loss_counts(paid);
         Some(RecoveryProgress {
             restored: counts.restored,
             left: counts.left,
@@ -192,18 +195,18 @@
 
     fn warm_up_time(&self, sessions: f64) -> Option<Duration> {
         let hosts = self.hosts.as_ref()?;
-        let time = hosts.warming(&self.stage.config, sessions)?;
-        Some(Duration::from_nanos(time))
+        let nanoseconds = hosts.min_warm_up_time(&self.backend.config, sessions)?;
+        Some(Duration::from_nanos(nanoseconds))
     }
 
     fn sent(&self) -> SendRate {
-        let elapsed = nanoseconds(clock::now().duration_since(self.began)).max(1);
-        let time = elapsed as f64 / NANOSECONDS_PER_SECOND as f64;
+        let elapsed = nanoseconds(clock::now().duration_since(self.started_at)).max(1);
+        let seconds = elapsed as f64 / NANOSECONDS_PER_SECOND as f64;
         let rate = |front| {
             let sent = self.network.sent(front);
             SendRate {
-                datagrams: sent.datagrams as f64 / time,
-                bytes: sent.bytes as f64 / time,
+                datagrams: sent.datagrams as f64 / seconds,
+                bytes: sent.bytes as f64 / seconds,
             }
         };
         (0..self.processes.len())
@@ -212,37 +215,38 @@
     }
 }
 
-/// Plays a case to its end, with the traffic of a day whose own faults and length are ignored. Call on a thread, after
-/// [`crankpaddle_net::start`].
+/// Plays a case to its end, with the traffic of the scenario `day`, whose own faults and length are ignored. It blocks, so it
+/// must be called on a thread and not in a coroutine, and after [`crankpaddle_net::start`].
 ///
 /// # Errors
-/// A front or a stand-in could not be started, a file not be written, or a step of the case not be carried out.
+/// A front, a simulated server or the list service could not be started, a file could not be written, or an action of the case
+/// could not be carried out.
 pub fn run(case: &Case, day: &Day, plan: &Plan) -> io::Result<Outcome> {
     std::fs::create_dir_all(&plan.dir)?;
-    let stage = Stage::start(day, plan.seed)?;
-    let mut harness = Harness::new(case, day, plan, &stage)?;
-    harness.start(&case.first.of(harness.processes.len()))?;
-    let (players, membership_poll) = (harness.players.clone(), harness.membership_poll.clone());
-    let arrivals = Arrivals::start(day, &stage.config, plan.seed, &players, &membership_poll);
-    let played = play(case, &mut harness).map_err(io::Error::other);
+    let backend = SimulatedBackend::start(day, plan.seed)?;
+    let mut cluster = ProcessCluster::new(case, day, plan, &backend)?;
+    cluster.start(&case.first.of(cluster.processes.len()))?;
+    let (players, membership_poll) = (cluster.players.clone(), cluster.membership_poll.clone());
+    let arrivals = Arrivals::start(day, &backend.config, plan.seed, &players, &membership_poll);
+    let played = play(case, &mut cluster).map_err(io::Error::other);
     let mut faults = Vec::new();
     faults.extend(arrivals.stop());
-    let all: Vec<usize> = (0..harness.processes.len()).collect();
-    harness.stop(&all, false);
+    let all: Vec<usize> = (0..cluster.processes.len()).collect();
+    cluster.set_stopped(&all, false);
     players.leave();
     let deadline = clock::now() + PLAYERS_LEAVE_WITHIN;
     faults.extend(wait_for_players(&players, deadline));
-    // Why: nobody ends the sessions of a front that was killed.
-    if !any_front_died(&stage.recorder) {
-        faults.extend(wait_for_streams(&stage.fleet));
+    // The sessions of a killed front are never ended, so their streams stay.
+    if !any_front_died(&backend.recorder) {
+        faults.extend(wait_for_streams(&backend.fleet));
     }
     faults.extend(membership_poll.missed());
     membership_poll.end();
-    faults.extend(harness.end(&all)?);
-    drop(harness);
-    let records = stage.recorder.all();
+    faults.extend(cluster.end(&all)?);
+    drop(cluster);
+    let records = backend.recorder.all();
     let verdict = judge(
-        &Rules::of(&stage.config, DRAIN_GRACE, TIMING_TOLERANCE),
+        &Rules::of(&backend.config, DRAIN_GRACE, TIMING_TOLERANCE),
         &records,
     );
     let cost = Cost::of(&records);
@@ -255,9 +259,14 @@
     })
 }
 
-impl<'a> Harness<'a> {
-    /// The network, players and hosts of a case; no front runs yet.
-    fn new(case: &Case, day: &Day, plan: &'a Plan, stage: &'a Stage) -> io::Result<Harness<'a>> {
+impl<'a> ProcessCluster<'a> {
+    /// Creates the network, players and hosts of a case. No front runs yet.
+    fn new(
+        case: &Case,
+        day: &Day,
+        plan: &'a Plan,
+        backend: &'a SimulatedBackend,
+    ) -> io::Result<ProcessCluster<'a>> {
         let fronts = plan.fronts as usize;
         let network = PeerNetwork::start(fronts, plan.seed)?;
         let hosts = if case.needs_disks() {
@@ -266,36 +275,36 @@
             None
         };
         let membership_poll = MembershipPoll::start(fronts, &network);
-        let habits = Habits {
-            keeps_key: hosts.is_some(),
+        let behavior = PlayerBehavior {
+            retries_with_same_key: hosts.is_some(),
             ..habits(day)
         };
-        let players =
-            PlayerPool::new(stage.recorder.clone(), habits).with_finder(finder(&membership_poll));
+        let players = PlayerPool::new(backend.recorder.clone(), behavior)
+            .with_finder(front_finder(&membership_poll));
         let key = if plan.peers {
             Some(write_key(&plan.dir)?)
         } else {
             None
         };
-        Ok(Harness {
+        Ok(ProcessCluster {
             plan,
-            stage,
+            backend,
             seeds: case.seeds.of(fronts),
             key,
             network,
             membership_poll,
             processes: (0..fronts).map(|_| None).collect(),
             stopped: vec![false; fronts],
-            others: vec![false; fronts],
-            began: clock::now(),
+            uses_other_build: vec![false; fronts],
+            started_at: clock::now(),
             hosts,
             players: Arc::new(players),
         })
     }
 }
 
-/// Finds the present address of a front that was restarted.
-fn finder(membership_poll: &MembershipPoll) -> Finder {
+/// Finds the current address of a front, which changes when the front is restarted.
+fn front_finder(membership_poll: &MembershipPoll) -> FrontFinder {
     let membership_poll = membership_poll.clone();
     Box::new(move |wanted| {
         let running = membership_poll.running();
@@ -306,5 +315,7 @@
 
 fn any_front_died(recorder: &Recorder) -> bool {
     let records = recorder.all();
-    records.iter().any(|r| matches!(r.seen, Seen::Died { .. }))
+    records
+        .iter()
+        .any(|record| matches!(record.seen, Seen::Died { .. }))
 }
--- a/crates/testbed/src/fleet/arrivals.rs
+++ b/crates/testbed/src/fleet/arrivals.rs
@@ -1,4 +1,4 @@
-//! The players of a case: they arrive as on a day, until the case is over, and choose among the fronts that run.
+//! Starts the players of a case. They arrive as in a scenario until the case is over, and choose among the running fronts.
 use crate::membership_poll::MembershipPoll;
 use crate::player::PlayerPool;
 use crate::scenario_runner::{arrivals, Arrival};
@@ -10,16 +10,18 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Arrivals are drawn for this long; no case is longer.
+/// Arrivals are drawn for this time, which is longer than any case.
 const LONGEST_CASE: Duration = Duration::from_secs(3600);
 
-/// A thread that starts the visits.
+/// The thread that starts the players' visits.
 pub(super) struct Arrivals {
+    /// Set when the case is over.
     over: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
 impl Arrivals {
+    /// Draws the arrivals of the scenario `day` and starts the thread.
     pub(super) fn start(
         day: &Day,
         config: &Config,
@@ -27,11 +29,11 @@
         players: &Arc<PlayerPool>,
         membership_poll: &MembershipPoll,
     ) -> Arrivals {
-        let long_day = Day {
+        let extended_scenario = Day {
             length: LONGEST_CASE,
             ..day.clone()
         };
-        let drawn = arrivals(&long_day, config, seed);
+        let drawn = arrivals(&extended_scenario, config, seed);
         let over = Arc::new(AtomicBool::new(false));
         let (players, membership_poll, case_over) =
             (players.clone(), membership_poll.clone(), over.clone());
@@ -40,11 +42,11 @@
         Arrivals { over, thread }
     }
 
-    /// Ends the arrivals; the fault where their thread panicked.
+    /// Ends the arrivals. Returns a description of the fault where their thread panicked.
     pub(super) fn stop(self) -> Option<String> {
         self.over.store(true, Ordering::Release);
-        let died = self.thread.join().is_err();
-        died.then(|| "the thread that sends players died".to_owned())
+        let panicked = self.thread.join().is_err();
+        panicked.then(|| "the thread that starts the players panicked".to_owned())
     }
 }
 
--- a/crates/testbed/src/fleet/power.rs
+++ b/crates/testbed/src/fleet/power.rs
@@ -1,24 +1,24 @@
-//! Power losses of the hosts of fronts and servers.
-use super::Harness;
+//! Carries out power losses of the hosts of fronts and servers.
+use super::ProcessCluster;
 use crate::player::LossCounts;
 use crankpaddle_fault_simulation::{Fronts, HostAction};
 use std::io;
 
-impl Harness<'_> {
-    /// Viewers that lost their session with the power, of all classes or the paid ones.
-    pub(super) fn lost(&self, paid: bool) -> LossCounts {
+impl ProcessCluster<'_> {
+    /// Counts the viewers that lost their session in a power loss, of the paid classes or of all classes.
+    pub(super) fn loss_counts(&self, paid: bool) -> LossCounts {
         let is_paid = |class: u8| {
-            let classes = &self.stage.config.settings.classes;
+            let classes = &self.backend.config.settings.classes;
             let class = classes.get(usize::from(class));
-            class.is_some_and(|c| c.idempotency == crankpaddle::Idempotency::AtMostOnce)
+            class.is_some_and(|class| class.idempotency == crankpaddle::Idempotency::AtMostOnce)
         };
         self.players.lost(|class| !paid || is_paid(class))
     }
 
-    /// Carries out a step of a power loss.
-    pub(super) fn power(&mut self, action: &HostAction) -> io::Result<()> {
+    /// Carries out an action at the hosts.
+    pub(super) fn run_host_action(&mut self, action: &HostAction) -> io::Result<()> {
         let fronts = self.processes.len();
-        let servers = self.stage.fleet.servers.len();
+        let servers = self.backend.fleet.servers.len();
         let Some(hosts) = &mut self.hosts else {
             return Err(io::Error::other("the case has no hosts"));
         };
@@ -41,7 +41,7 @@
                 &of_servers.of(servers),
                 *list_service,
             ),
-            HostAction::CopyDisks(of_fronts) => hosts.copy(&of_fronts.of(fronts)),
+            HostAction::CopyDisks(of_fronts) => hosts.copy_disks(&of_fronts.of(fronts)),
             HostAction::SetDisks {
                 fronts: of_fronts,
                 state,
@@ -56,31 +56,31 @@
     fn power_off(&mut self, fronts: &[usize], servers: &[usize], list: bool) -> io::Result<()> {
         self.players.on_power_loss();
         if let Some(hosts) = &mut self.hosts {
-            hosts.off(fronts)?;
-            // Why: the servers first, by microseconds, as in a real power loss: a front that runs on for that long sees
-            // their connections break.
-            hosts.servers_off(&self.stage.fleet, servers);
+            hosts.power_off_fronts(fronts)?;
+            // The servers lose power some microseconds before the fronts, as in a real power loss. A front that runs on for that
+            // time sees its connections to the servers break.
+            hosts.power_off_servers(&self.backend.fleet, servers);
         }
         if list {
-            self.stage.list.set_gone(true);
+            self.backend.list.set_gone(true);
         }
         self.kill(fronts)
     }
 
     fn power_on(&mut self, fronts: &[usize], servers: &[usize], list: bool) -> io::Result<()> {
         if let Some(hosts) = &self.hosts {
-            hosts.servers_on(&self.stage.fleet, &self.stage.list, servers)?;
+            hosts.power_on_servers(&self.backend.fleet, &self.backend.list, servers)?;
         }
         if list {
-            self.stage.list.set_gone(false);
+            self.backend.list.set_gone(false);
         }
         self.start(fronts)
     }
 
     fn lose_inventories(&self, of_servers: &Fronts) {
-        let servers = self.stage.fleet.servers.len();
+        let servers = self.backend.fleet.servers.len();
         for id in of_servers.of(servers) {
-            self.stage.fleet.lose_inventory(id as u32);
+            self.backend.fleet.lose_inventory(id as u32);
         }
     }
 }
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of the fronts: started, killed, ended, stopped and resumed.
-use super::Harness;
+//! Starts, kills, ends, stops and resumes the processes of the fronts.
+use super::ProcessCluster;
 use crate::process::{end_all, with_workers, Process};
 use crate::record::Seen;
 use crate::script::front_block;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Time beyond its configured drain in which a front's process must end.
+/// A front's process must end within its configured drain time and this time.
 const PROCESS_END_GRACE: Duration = Duration::from_secs(5);
 
 /// The configuration of a front that is to start.
@@ -17,34 +17,34 @@
     text: String,
 }
 
-impl Harness<'_> {
+impl ProcessCluster<'_> {
     fn config_text(&self, front: usize) -> String {
-        let zones = &self.stage.config.zones;
+        let zones = &self.backend.config.zones;
         let block = front_block(
             front as u32,
             self.plan.fronts,
             &zones[front % zones.len()],
-            &self.stage.list.address.to_string(),
-            &self.cache(front).to_string_lossy(),
+            &self.backend.list.address.to_string(),
+            &self.list_cache_path(front).to_string_lossy(),
         );
         let probe_every = &self.plan.probe_every;
-        let peers = self
-            .key
-            .as_ref()
-            .map(|key| self.network.block(front, &self.seeds, key, probe_every));
-        let store = self.hosts.as_ref().map(|hosts| hosts.block(front));
+        let peers = self.key.as_ref().map(|key| {
+            self.network
+                .peers_block(front, &self.seeds, key, probe_every)
+        });
+        let store = self.hosts.as_ref().map(|hosts| hosts.store_block(front));
         with_workers(&block, self.plan.workers)
             + &peers.unwrap_or_default()
             + &store.unwrap_or_default()
-            + &self.stage.config_text
+            + &self.backend.config_text
     }
 
-    /// File of the cached endpoint list.
-    fn cache(&self, front: usize) -> PathBuf {
+    /// Path of the front's cached endpoint list.
+    fn list_cache_path(&self, front: usize) -> PathBuf {
         self.plan.dir.join(format!("front-{front}.list"))
     }
 
-    /// Starts those of the fronts that don't run, all at the same time.
+    /// Starts those of these fronts that don't run, all at the same time.
     pub(super) fn start(&mut self, fronts: &[usize]) -> io::Result<()> {
         let mut configs = Vec::new();
         for front in fronts.iter().copied() {
@@ -53,10 +53,11 @@
                 configs.push(FrontConfig { front, text });
             }
         }
-        // A front starts without state; only a host with power losses keeps its disk.
+        // A front starts without state. Only where the case has power losses do hosts keep their disks.
         if self.hosts.is_none() {
             for config in &configs {
-                let _ = std::fs::remove_file(self.cache(config.front)); // It may never have been written.
+                let _ = std::fs::remove_file(self.list_cache_path(config.front));
+                // The file may never have been written.
             }
         }
         for (front, process) in self.start_processes(&configs) {
@@ -72,7 +73,7 @@
         let start_one = |config: &FrontConfig| {
             let name = format!("front-{}", config.front);
             let other = self.plan.other.as_ref();
-            let exe = other.filter(|_| self.others[config.front]);
+            let exe = other.filter(|_| self.uses_other_build[config.front]);
             let exe = exe.unwrap_or(&self.plan.exe);
             Process::start(exe, &self.plan.dir, &name, &config.text)
         };
@@ -82,7 +83,11 @@
                 .iter()
                 .map(|config| (config.front, scope.spawn(move || start_one(config))))
                 .collect();
-            let panicked = |_| Err(io::Error::other("the thread that started it died"));
+            let panicked = |_| {
+                Err(io::Error::other(
+                    "the thread that started the front panicked",
+                ))
+            };
             threads
                 .into_iter()
                 .map(|(front, thread)| (front, thread.join().unwrap_or_else(panicked)))
@@ -90,14 +95,14 @@
         })
     }
 
-    /// Kills fronts. All get the signal before any is waited for.
+    /// Kills fronts. All are signalled before the first is waited for.
     pub(super) fn kill(&mut self, fronts: &[usize]) -> io::Result<()> {
         for front in fronts.iter().copied() {
             if let Some(process) = &self.processes[front] {
                 let died = Seen::Died {
                     front: front as u32,
                 };
-                self.stage.recorder.see(died);
+                self.backend.recorder.see(died);
                 process.signal(Signal::KILL);
                 self.membership_poll.set_address(front, None);
             }
@@ -110,7 +115,7 @@
         Ok(())
     }
 
-    /// Ends fronts by a graceful shutdown; the faults of those that ended badly.
+    /// Ends fronts by a graceful shutdown. Returns a description for each front that ended with an error or not in time.
     pub(super) fn end(&mut self, fronts: &[usize]) -> io::Result<Vec<String>> {
         let mut ending = Vec::new();
         for front in fronts.iter().copied() {
@@ -119,12 +124,12 @@
         for front in fronts.iter().copied() {
             self.membership_poll.set_address(front, None);
         }
-        let drain = self.stage.config.limits.drain;
+        let drain = self.backend.config.limits.drain;
         end_all(ending.iter_mut(), drain + PROCESS_END_GRACE)
     }
 
     /// Stops the processes of fronts, or resumes them.
-    pub(super) fn stop(&mut self, fronts: &[usize], stopped: bool) {
+    pub(super) fn set_stopped(&mut self, fronts: &[usize], stopped: bool) {
         for front in fronts.iter().copied() {
             if self.stopped[front] == stopped {
                 continue;
@@ -136,13 +141,13 @@
                 front: front as u32,
                 stopped,
             };
-            // Invariant: the recorded stall covers the real one.
+            // The recorded stall must cover the real one, so a stop is recorded before its signal and a resumption after it.
             if stopped {
-                self.stage.recorder.see(seen);
+                self.backend.recorder.see(seen);
                 process.signal(Signal::STOP);
             } else {
                 process.signal(Signal::CONT);
-                self.stage.recorder.see(seen);
+                self.backend.recorder.see(seen);
             }
             self.stopped[front] = stopped;
         }
--- a/crates/testbed/src/host_faults.rs
+++ b/crates/testbed/src/host_faults.rs
@@ -78,7 +78,7 @@
     }
 
     /// The store's block of a front's configuration.
-    pub(crate) fn block(&self, front: usize) -> String {
+    pub(crate) fn store_block(&self, front: usize) -> String {
         let steps = match self.memory {
             Memory::Forgotten => return String::new(),
             Memory::Preserved => "",
@@ -93,7 +93,7 @@
     }
 
     /// The power of these fronts' hosts fails.
-    pub(crate) fn off(&mut self, fronts: &[usize]) -> io::Result<()> {
+    pub(crate) fn power_off_fronts(&mut self, fronts: &[usize]) -> io::Result<()> {
         for front in fronts.iter().copied() {
             self.boots[front] += 1;
             self.write_boot_file(front)?;
@@ -102,7 +102,7 @@
     }
 
     /// The power of these servers fails.
-    pub(crate) fn servers_off(&mut self, fleet: &Fleet, servers: &[usize]) {
+    pub(crate) fn power_off_servers(&mut self, fleet: &Fleet, servers: &[usize]) {
         for server in servers {
             fleet.crash(*server as u32);
         }
@@ -110,7 +110,7 @@
     }
 
     /// The servers start, in slow start, and the list service has them after its delay.
-    pub(crate) fn servers_on(
+    pub(crate) fn power_on_servers(
         &self,
         fleet: &Arc<Fleet>,
         list: &ListService,
@@ -129,7 +129,7 @@
     }
 
     /// Copies the fronts' disks as they are now.
-    pub(crate) fn copy(&self, fronts: &[usize]) -> io::Result<()> {
+    pub(crate) fn copy_disks(&self, fronts: &[usize]) -> io::Result<()> {
         for front in fronts.iter().copied() {
             replace_dir(&self.store(front), &self.copy_dir(front))?;
         }
@@ -164,7 +164,7 @@
 
     /// How long after their restart the servers that lost power could have accepted so many sessions, each server at every
     /// moment just below its overload: a lower bound for any front. Servers that kept power accept all at once.
-    pub(crate) fn warming(&self, config: &Config, sessions: f64) -> Option<u64> {
+    pub(crate) fn min_warm_up_time(&self, config: &Config, sessions: f64) -> Option<u64> {
         let settings = &config.settings;
         let duration = settings.slow_start_duration as f64;
         let min_factor = settings.slow_start_min_factor;
--- a/crates/testbed/src/loss_analysis.rs
+++ b/crates/testbed/src/loss_analysis.rs
@@ -1,18 +1,18 @@
-//! Which viewers lost their session in a power loss, and which of them watch again.
+//! Tracks which viewers lost their session in a power loss, and which of them watch again.
 use std::collections::BTreeMap;
 
-/// How many viewers lost their session in a power loss, and what became of them.
+/// Numbers of the viewers that lost their session in a power loss, and of what they did afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LossCounts {
-    /// Viewers that watch again.
+    /// Number of viewers that watch again.
     pub restored: u64,
-    /// Viewers that left without a session.
+    /// Number of viewers that left without getting a session again.
     pub left: u64,
-    /// All viewers that lost their session.
+    /// Number of all viewers that lost their session, also of those that are still trying.
     pub lost: u64,
 }
 
-/// Viewers by the seed of their visit, each with the class.
+/// Tracks viewers by the seed of their visit. Each map has the viewer's class number.
 #[derive(Debug, Default)]
 pub(crate) struct Losses {
     power_lost: bool,
@@ -22,19 +22,19 @@
 }
 
 impl Losses {
-    /// Marks the power loss: a viewer that is disconnected from now on counts.
+    /// Notes a power loss. Viewers that are disconnected from now on are counted.
     pub(crate) fn on_power_loss(&mut self) {
         self.power_lost = true;
     }
 
-    /// A viewer's session was established.
+    /// Notes that a viewer's session was established.
     pub(crate) fn on_established(&mut self, visit: u64, class: u8) {
         if self.without_session.remove(&visit).is_some() {
             self.watching_again.insert(visit, class);
         }
     }
 
-    /// A viewer's session was disconnected.
+    /// Notes that a viewer was disconnected from its session.
     pub(crate) fn on_disconnected(&mut self, visit: u64, class: u8) {
         if self.power_lost {
             self.watching_again.remove(&visit);
@@ -42,17 +42,19 @@
         }
     }
 
-    /// A viewer left.
+    /// Notes that a viewer left.
     pub(crate) fn on_left(&mut self, visit: u64) {
         if let Some(class) = self.without_session.remove(&visit) {
             self.left.insert(visit, class);
         }
     }
 
-    /// Counts the viewers of the classes that `of` accepts.
-    pub(crate) fn count(&self, of: impl Fn(u8) -> bool) -> LossCounts {
-        let count =
-            |all: &BTreeMap<u64, u8>| all.values().filter(|class| of(**class)).count() as u64;
+    /// Counts the viewers of the class numbers that `accepts_class` accepts.
+    pub(crate) fn count(&self, accepts_class: impl Fn(u8) -> bool) -> LossCounts {
+        let count = |viewers: &BTreeMap<u64, u8>| {
+            let accepted = viewers.values().filter(|class| accepts_class(**class));
+            accepted.count() as u64
+        };
         let restored = count(&self.watching_again);
         let left = count(&self.left);
         LossCounts {
--- a/crates/testbed/src/loss_analysis/tests.rs
+++ b/crates/testbed/src/loss_analysis/tests.rs
@@ -9,11 +9,11 @@
 }
 
 #[test]
-fn viewers_disconnected_after_the_power_loss_count_once_however_often() {
+fn viewers_disconnected_after_the_power_loss_are_counted_once() {
     let mut losses = Losses::default();
     losses.on_disconnected(9, 0); // Before the power loss.
     losses.on_power_loss();
-    losses.on_established(5, 0); // Was never disconnected.
+    losses.on_established(5, 0); // This viewer is never disconnected.
     for visit in 1..=4 {
         losses.on_disconnected(visit, (visit % 2) as u8);
     }
--- a/crates/testbed/src/player/attempt.rs
+++ b/crates/testbed/src/player/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a player to watch a title at a front.
+//! One attempt of a player to watch a title, from the open request to its result.
 use super::{Client, FrontAddress, PlayerPool, Visit};
 use crate::record::{PlayerReply, Seen};
 use crankpaddle_net::{clock, sleep};
@@ -11,46 +11,46 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// After its deadline a player still listens for this long, so that a late answer is recorded.
+/// A player still reads for this long after its deadline, so that a late answer is recorded.
 const LATE_ANSWER_WINDOW: Duration = Duration::from_secs(1);
 
 /// How an attempt ended.
-pub(super) enum Outcome {
-    /// The player watched for as long as it wanted.
+pub(super) enum AttemptResult {
+    /// The player watched for its whole time.
     Watched,
-    /// Rejected, failed in a way that allows another attempt, or disconnected.
+    /// The attempt was rejected or failed, and the player may return.
     MayReturn {
-        /// The front's Retry-After.
+        /// The front's Retry-After, where it sent one.
         retry_after: Option<Duration>,
     },
-    /// The player does not return.
+    /// The attempt ended in a way after which the player does not return.
     DoesNotReturn,
-    /// The front disconnected before the player knew what became of its session.
+    /// The front disconnected, or could not be reached, before the player's session had ended.
     FrontLost,
 }
 
-/// An attempt at a front.
+/// What an attempt needs to know of its visit.
 pub(super) struct Attempt<'a> {
     pub(super) visit: &'a Visit,
-    /// The idempotency key.
+    /// The idempotency key of the open request.
     pub(super) key: String,
     pub(super) front: FrontAddress,
-    /// The visit ends at this time at the latest.
+    /// The visit ends no later than this.
     pub(super) until: Time,
     /// Whether the player has made an attempt before.
     pub(super) returning: bool,
 }
 
 impl Attempt<'_> {
-    /// The open request, with the time that is left of the player's patience.
-    fn open(&self, patience: Duration) -> Open {
+    /// The open request; the player gives up after `patience`.
+    fn open_request(&self, patience: Duration) -> Open {
         let visit = self.visit;
         Open {
             key: self.key.clone(),
             title: visit.title.clone(),
             class: visit.class.name.clone(),
             viewer: Some(format!("v{:x}", visit.seed)),
-            top: Some(visit.top),
+            top: Some(visit.highest_rung),
             give_up_ms: Some(patience.as_millis() as u64),
             again: self.returning,
             ..Open::default()
@@ -59,22 +59,23 @@
 }
 
 impl PlayerPool {
-    pub(super) fn attempt(&self, attempt: &Attempt<'_>, rng: &mut StdRng) -> Outcome {
+    /// Makes an attempt. Some players disconnect before the answer and reconnect with the same key.
+    pub(super) fn attempt(&self, attempt: &Attempt<'_>, rng: &mut StdRng) -> AttemptResult {
         let Ok(mut client) = Client::connect(&attempt.front.address, &self.sweeper) else {
             self.failed_connects.fetch_add(1, Ordering::AcqRel);
-            return if self.habits.keeps_key {
-                Outcome::FrontLost
+            return if self.behavior.retries_with_same_key {
+                AttemptResult::FrontLost
             } else {
-                Outcome::MayReturn { retry_after: None }
+                AttemptResult::MayReturn { retry_after: None }
             };
         };
         let deadline = clock::now() + attempt.visit.patience;
         let mut call = self.send_open(&mut client, attempt, deadline);
-        if rng.random_bool(self.habits.reconnect) {
+        if rng.random_bool(self.behavior.reconnect_fraction) {
             sleep(Duration::from_millis(rng.random_range(1..150)));
             client = match self.reconnect(client, call, attempt) {
-                Ok(fresh) => fresh,
-                Err(outcome) => return outcome,
+                Ok(new_client) => new_client,
+                Err(result) => return result,
             };
             call = self.send_open(&mut client, attempt, deadline);
         }
@@ -82,11 +83,11 @@
         let disconnected = clock::now() < deadline + LATE_ANSWER_WINDOW;
         match answer {
             Some(event) => self.on_answer(event, client, attempt),
-            None if self.habits.keeps_key && disconnected => {
+            None if self.behavior.retries_with_same_key && disconnected => {
                 self.recorder.see(Seen::Disconnected { call });
-                Outcome::FrontLost
+                AttemptResult::FrontLost
             }
-            None => Outcome::DoesNotReturn,
+            None => AttemptResult::DoesNotReturn,
         }
     }
 
@@ -99,31 +100,32 @@
             class: attempt.visit.class.number,
             deadline,
         });
-        let open = attempt.open(deadline.duration_since(clock::now()));
-        let _ = client.send(client::open(call, &open)); // Its failure shows when the answer is read.
+        let open = attempt.open_request(deadline.duration_since(clock::now()));
+        let _ = client.send(client::open(call, &open)); // A failure to send shows when the answer is read.
         call
     }
 
-    /// Disconnects during a call and connects again; the outcome where the answer had arrived or the front can't be
-    /// reached.
+    /// Disconnects during a call and connects to the same front again. Fails with the result of the attempt where an answer
+    /// other than a playing session had arrived, or the front can't be reached.
     ///
-    /// Why the same front: another one does not know the key, and would set up a paid session again.
+    /// The front stays the same because another front does not know the idempotency key and would set up a paid session
+    /// again.
     fn reconnect(
         &self,
         mut client: Client,
         call: u64,
         attempt: &Attempt<'_>,
-    ) -> Result<Client, Outcome> {
-        client.cut();
+    ) -> Result<Client, AttemptResult> {
+        client.disconnect();
         match self.drain_answer(&mut client, call) {
             Some(PlayerReply::Plays) | None => self.recorder.see(Seen::Disconnected { call }),
-            Some(_) => return Err(Outcome::DoesNotReturn),
+            Some(_) => return Err(AttemptResult::DoesNotReturn),
         }
         Client::connect(&attempt.front.address, &self.sweeper)
-            .map_err(|_| Outcome::MayReturn { retry_after: None })
+            .map_err(|_| AttemptResult::MayReturn { retry_after: None })
     }
 
-    /// An answer that had been received before the connection was cut.
+    /// The answer to a call that was received before the connection was closed; `None` where there was none.
     fn drain_answer(&self, client: &mut Client, call: u64) -> Option<PlayerReply> {
         while let Ok(Some(event)) = client.poll() {
             if let Some(reply) = reply_of(&event, call) {
@@ -134,8 +136,8 @@
         None
     }
 
-    /// Waits for the answer to a call. `None` where none was received: a front that disconnects still has to answer, and
-    /// the invariant checker finds that it did not.
+    /// Waits for the answer to a call. `None` where no answer was received. A front that disconnects still owes the answer, and
+    /// the invariant checker reports that it is missing.
     fn wait_for_answer(
         &self,
         client: &mut Client,
@@ -151,24 +153,31 @@
         None
     }
 
-    fn on_answer(&self, event: ClientEvent, client: Client, attempt: &Attempt<'_>) -> Outcome {
+    fn on_answer(
+        &self,
+        event: ClientEvent,
+        client: Client,
+        attempt: &Attempt<'_>,
+    ) -> AttemptResult {
         match event {
             ClientEvent::Plays { session, media, .. } => {
                 self.watch_session(client, &session, &media, attempt)
             }
-            // The session was lost with its server: the player opens a new one.
-            ClientEvent::Failed { .. } if attempt.returning && self.habits.keeps_key => {
+            // The session was lost with its server, so the player opens a new one.
+            ClientEvent::Failed { .. }
+                if attempt.returning && self.behavior.retries_with_same_key =>
+            {
                 client.close();
-                Outcome::MayReturn { retry_after: None }
+                AttemptResult::MayReturn { retry_after: None }
             }
             ClientEvent::Refused { retry_after_ms, .. } => {
                 client.close();
                 let retry_after = retry_after_ms.map(Duration::from_millis);
-                Outcome::MayReturn { retry_after }
+                AttemptResult::MayReturn { retry_after }
             }
             _ => {
                 client.close();
-                Outcome::DoesNotReturn
+                AttemptResult::DoesNotReturn
             }
         }
     }
@@ -179,20 +188,20 @@
         session: &str,
         media: &str,
         attempt: &Attempt<'_>,
-    ) -> Outcome {
+    ) -> AttemptResult {
         let visit = attempt.visit;
         self.losses().on_established(visit.seed, visit.class.number);
-        let left = attempt.until.duration_since(clock::now());
-        let outcome = self.watch(client, session, media, visit.watch.min(left));
-        if !matches!(outcome, Outcome::Watched) {
+        let remaining = attempt.until.duration_since(clock::now());
+        let result = self.watch(client, session, media, visit.watch.min(remaining));
+        if !matches!(result, AttemptResult::Watched) {
             self.losses()
                 .on_disconnected(visit.seed, visit.class.number);
         }
-        outcome
+        result
     }
 }
 
-/// The reply that an event is to this call; `None` for other events.
+/// The reply to this call that an event is; `None` where the event is not an answer to the call.
 fn reply_of(event: &ClientEvent, call: u64) -> Option<PlayerReply> {
     match event {
         ClientEvent::Plays { id, .. } if *id == call => Some(PlayerReply::Plays),
--- a/crates/testbed/src/player/client.rs
+++ b/crates/testbed/src/player/client.rs
@@ -16,15 +16,16 @@
 use tungstenite::protocol::{Role, WebSocketConfig, WebSocketContext};
 use tungstenite::Message;
 
-/// Bytes that a connection may have unsent.
+/// Maximum number of unsent bytes of a connection.
 const SEND_BUFFER: usize = 1 << 20;
-/// Time for the front to answer a WebSocket close.
+/// Timeout of the front's answer to a WebSocket close.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A WebSocket connection to a front.
+/// A WebSocket connection to a front, which speaks the session API.
 pub struct Client {
     outbox: WriteBuffer,
     context: WebSocketContext,
+    /// Messages that were read but not returned yet.
     ready: VecDeque<ClientEvent>,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl Client {
-    /// Connects and does the WebSocket handshake.
+    /// Connects to a front and does the WebSocket handshake. `sweeper` closes the connection at its timeouts.
     ///
     /// # Errors
     /// The front can't be reached or refuses the handshake.
@@ -75,16 +76,18 @@
         let request = head::request("GET", "/session", &address.to_string(), &fields, b"");
         socket.write_all(&request).map_err(|error| error.source)?;
         let mut exchange = HttpExchange::new(socket.clone());
-        let handshake_failed = |what: String| io::Error::new(ErrorKind::ConnectionRefused, what);
-        let answer = exchange
+        let handshake_failed =
+            |reason: String| io::Error::new(ErrorKind::ConnectionRefused, reason);
+        let response = exchange
             .response_head()
-            .map_err(|e| handshake_failed(e.to_string()))?;
-        if answer.status != 101
-            || answer.fields.get("sec-websocket-accept") != Some(&derive_accept_key(key.as_bytes()))
+            .map_err(|error| handshake_failed(error.to_string()))?;
+        if response.status != 101
+            || response.fields.get("sec-websocket-accept")
+                != Some(&derive_accept_key(key.as_bytes()))
         {
             return Err(handshake_failed(format!(
-                "handshake answered {}",
-                answer.status
+                "handshake failed with status {}",
+                response.status
             )));
         }
         socket.set_expiry(Time::MAX);
@@ -100,7 +103,7 @@
         })
     }
 
-    /// Sends a text message.
+    /// Sends a message of the session API.
     ///
     /// # Errors
     /// The connection is closed.
@@ -114,7 +117,7 @@
     /// The next message of the front, if one has been received.
     ///
     /// # Errors
-    /// The connection is closed, or a message is none of a front.
+    /// The connection is closed, or a message is invalid.
     pub fn poll(&mut self) -> io::Result<Option<ClientEvent>> {
         while self.ready.is_empty() {
             match self.context.read(&mut Stream(&self.outbox)) {
@@ -133,10 +136,10 @@
         Ok(self.ready.pop_front())
     }
 
-    /// Waits for the next message of the front until a time.
+    /// Waits for the next message of the front, no longer than `until`.
     ///
     /// # Errors
-    /// The time has come ([`ErrorKind::TimedOut`]) or the connection is closed.
+    /// No message arrived in time ([`ErrorKind::TimedOut`]), the connection is closed, or a message is invalid.
     pub fn next(&mut self, until: Time) -> io::Result<ClientEvent> {
         loop {
             if let Some(event) = self.poll()? {
@@ -155,8 +158,8 @@
         }
     }
 
-    /// Closes the connection without a WebSocket close, as a player does that disconnects.
-    pub fn cut(&self) {
+    /// Closes the connection without a WebSocket close, like a player that loses its network.
+    pub fn disconnect(&self) {
         self.outbox.socket().close(CloseReason::NotNeeded);
     }
 
--- a/crates/testbed/src/player/watch.rs
+++ b/crates/testbed/src/player/watch.rs
@@ -1,5 +1,5 @@
-//! A player that watches: it fetches segments until it has seen enough or the session ends.
-use super::attempt::Outcome;
+//! Watches a session: fetches its segments until the time to watch is over or the session ends.
+use super::attempt::AttemptResult;
 use super::{Client, PlayerPool, CONNECT_TIMEOUT};
 use crate::record::Seen;
 use crankpaddle_http::head;
@@ -14,14 +14,15 @@
 
 /// Pause after a segment that could not be fetched.
 const FETCH_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Time for a segment beyond the end of the watching.
+/// A fetch that has begun may continue for this long after the time to watch is over.
 const SEGMENT_GRACE: Duration = Duration::from_secs(1);
-/// Time for the front to answer the close of a session.
+/// Timeout of the front's answer to the close of a session.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where a session's media is.
+/// The location of a session's media, from the URL that the front returned.
 struct MediaLocation {
     address: SocketAddr,
+    /// Request target of the media: the path of the URL.
     target: String,
     /// Name of the session at its server.
     session_name: String,
@@ -40,19 +41,22 @@
 
 /// What a player has received from its front since it last looked.
 struct Received {
+    /// Set where the front ended the session.
     session_over: Option<SessionOver>,
     /// Whether the connection is closed.
     disconnected: bool,
 }
 
 struct SessionOver {
-    /// The front's Retry-After.
+    /// The front's Retry-After, where it sent one.
     retry_after: Option<Duration>,
 }
 
-/// The part of a segment that was read.
+/// The result of fetching a segment.
 struct Fetched {
+    /// Number of bytes that were read.
     bytes: u64,
+    /// Whether the whole segment was read.
     complete: bool,
 }
 
@@ -64,17 +68,17 @@
 }
 
 impl PlayerPool {
-    /// Watches a session for `time`.
+    /// Watches a session for `time`, or until it ends or the players leave.
     pub(super) fn watch(
         &self,
         mut client: Client,
         session: &str,
         media: &str,
         time: Duration,
-    ) -> Outcome {
+    ) -> AttemptResult {
         let until = clock::now() + time;
         let Some(location) = MediaLocation::parse(media) else {
-            return Outcome::DoesNotReturn;
+            return AttemptResult::DoesNotReturn;
         };
         let name = location.session_name.clone();
         let mut reader = MediaReader {
@@ -90,24 +94,25 @@
                 sleep(FETCH_RETRY_INTERVAL);
             }
             let received = receive(&mut client);
-            if received.disconnected && self.habits.keeps_key && clock::now() < until {
+            if received.disconnected && self.behavior.retries_with_same_key && clock::now() < until
+            {
                 self.recorder.see(Seen::Fetched { name, bytes });
-                return Outcome::FrontLost;
+                return AttemptResult::FrontLost;
             }
             if let Some(SessionOver { retry_after }) = received.session_over {
                 self.recorder.see(Seen::Fetched { name, bytes });
                 client.close();
-                return Outcome::MayReturn { retry_after };
+                return AttemptResult::MayReturn { retry_after };
             }
         }
         self.recorder.see(Seen::Fetched { name, bytes });
         self.close_session(client, session);
-        Outcome::Watched
+        AttemptResult::Watched
     }
 
     fn close_session(&self, mut client: Client, session: &str) {
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
-        let _ = client.send(client::close(call, session)); // Without its front the session is over too.
+        let _ = client.send(client::close(call, session)); // If the front has died, its session is over anyway.
         let deadline = clock::now() + CLOSE_TIMEOUT;
         while let Ok(event) = client.next(deadline) {
             if matches!(event, ClientEvent::Closed { id } | ClientEvent::Unknown { id } if id == call)
@@ -119,7 +124,7 @@
     }
 }
 
-/// Receives what the front has sent.
+/// Reads all messages that the front has sent so far.
 fn receive(client: &mut Client) -> Received {
     let mut received = Received {
         session_over: None,
@@ -141,7 +146,7 @@
     }
 }
 
-/// Fetches the media of a session over one connection, as long as that works.
+/// Fetches the media of a session, over one connection for as long as that works.
 struct MediaReader<'a> {
     location: MediaLocation,
     sweeper: &'a IdleSweeper,
@@ -149,7 +154,7 @@
 }
 
 impl MediaReader<'_> {
-    /// Fetches a segment; the next one uses a new connection where this one is incomplete.
+    /// Fetches a segment. After an incomplete segment the next one is fetched over a new connection.
     fn fetch_segment(&mut self, until: Time) -> Fetched {
         let fetched = self.try_fetch(until).unwrap_or(Fetched::NOTHING);
         if !fetched.complete {
@@ -163,10 +168,10 @@
         let location = &self.location;
         let exchange = match &mut self.exchange {
             Some(exchange) => exchange,
-            none => {
+            empty => {
                 let socket = Arc::new(Socket::connect(&location.address, CONNECT_TIMEOUT).ok()?);
                 self.sweeper.watch(&socket);
-                none.insert(HttpExchange::new(socket))
+                empty.insert(HttpExchange::new(socket))
             }
         };
         exchange.socket.set_expiry(until + SEGMENT_GRACE);
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Fronts as processes of their own. No process is left behind.
+//! Runs fronts as processes of their own and makes sure that none is left running.
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::OpenOptions;
 use std::io::{self, BufRead, BufReader};
@@ -8,7 +8,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// Time in which a front must listen.
+/// Time within which a front must print the address at which it listens.
 const START_WITHIN: Duration = Duration::from_secs(20);
 /// Interval at which the end of a process is checked.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -19,20 +19,21 @@
     block.replacen("front {\n", &format!("front {{\n  workers: {workers}\n"), 1)
 }
 
-/// A front that runs, or ran. It is killed when it is dropped.
+/// The process of a front. It is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     name: String,
     child: Child,
-    /// Where it listens to players.
+    /// Address at which the front listens to players.
     pub address: SocketAddr,
 }
 
 impl Process {
-    /// Starts `EXE front` with this configuration, which is written to `dir` under the name, as is the log.
+    /// Starts `EXE front` with the configuration `text`. Configuration and log are written to `dir` as `NAME.textproto` and
+    /// `NAME.log`.
     ///
     /// # Errors
-    /// It does not listen in time; the error has its output and log.
+    /// The front does not listen in time; the error has its output and log.
     pub fn start(exe: &Path, dir: &Path, name: &str, text: &str) -> io::Result<Process> {
         let config = dir.join(format!("{name}.textproto"));
         let log = dir.join(format!("{name}.log"));
@@ -53,31 +54,31 @@
                 address,
             });
         }
-        let _ = child.kill(); // The failure is reported whether or not it still ran.
+        let _ = child.kill(); // The process may have ended; the failure is reported below.
         let _ = child.wait();
         let log = std::fs::read_to_string(&log).unwrap_or_default();
         let failure = format!("{name} did not start: {line}{log}");
         Err(io::Error::other(failure))
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process. A process that has ended is ignored.
     pub fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(pid) = pid {
-            let _ = kill_process(pid, signal); // One that has ended shows when it is waited for.
+            let _ = kill_process(pid, signal); // If the process has ended, waiting for it shows that.
         }
     }
 
-    /// Kills it.
+    /// Kills the process and waits for its end.
     ///
     /// # Errors
-    /// It can't be waited for.
+    /// The process can't be killed or waited for.
     pub fn kill(mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait().map(drop)
     }
 
-    /// Waits for its end; `None` if it had to be killed at that time.
+    /// Waits for the end of the process. `None` if it still ran at `until` and was killed.
     fn wait(&mut self, until: Instant) -> io::Result<Option<ExitStatus>> {
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait()? {
@@ -93,25 +94,25 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // It may have ended.
+        let _ = self.child.kill(); // The process may have ended already.
         let _ = self.child.wait();
     }
 }
 
-/// Ends processes gracefully, all at the same time, and waits for each; the faults of those that ended badly or not in
-/// time.
+/// Ends processes gracefully, all at the same time, and waits for each. Returns a description for each process that ended
+/// with an error or did not end in time.
 ///
 /// # Errors
-/// One can't be waited for.
+/// A process can't be killed or waited for.
 pub fn end_all<'p>(
     processes: impl Iterator<Item = &'p mut Process>,
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<Vec<String>> {
     let processes: Vec<&mut Process> = processes.collect();
     for process in &processes {
         process.signal(Signal::TERM);
     }
-    let until = Instant::now() + within;
+    let until = Instant::now() + timeout;
     let mut faults = Vec::new();
     for process in processes {
         match process.wait(until)? {
@@ -123,7 +124,7 @@
     Ok(faults)
 }
 
-/// The first line of a process's output; empty where none arrives in time.
+/// The first line of a process's output; empty where no line arrives in time.
 fn first_line(output: Option<ChildStdout>) -> String {
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
--- a/crates/testbed/src/scenario_runner/arrivals.rs
+++ b/crates/testbed/src/scenario_runner/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals of players, drawn ahead of the run: an open load that never waits for answers.
+//! Arrivals of players. All are drawn before the run, so the load is open: it does not depend on how fast fronts answer.
 use crate::player::{Visit, VisitClass};
 use crate::script::{Day, Kind};
 use crankpaddle_config::Config;
@@ -7,27 +7,27 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Part of the players that ask for half of the rungs only.
-const SMALL_SCREEN_PART: f64 = 0.25;
+/// Fraction of the players whose screen is small, so that they use only the lower half of the rungs.
+const SMALL_SCREEN_FRACTION: f64 = 0.25;
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// A player that comes.
+/// The arrival of a player.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, from the day's start.
+    /// Time since the start of the scenario.
     pub at: Duration,
-    /// What the player does.
+    /// What the player watches, and how long.
     pub visit: Visit,
 }
 
-/// Draws the arrivals of a day, in the order of their times.
+/// Draws the arrivals of a scenario, sorted by time. The same seed gives the same arrivals.
 ///
 /// # Panics
-/// The configuration has no titles or fewer classes than the day.
+/// The configuration has no titles, or fewer classes than the scenario.
 #[must_use]
 pub fn arrivals(day: &Day, config: &Config, seed: u64) -> Vec<Arrival> {
-    let mut generator = Generator::new(day, config, seed);
+    let mut generator = ArrivalGenerator::new(day, config, seed);
     let mut all = Vec::new();
     let mut seconds = 0.0;
     loop {
@@ -36,38 +36,39 @@
             return all;
         }
         let at = Duration::from_nanos((seconds * NANOSECONDS_PER_SECOND) as u64);
-        let rate_part = (day.rate_at(at) / generator.peak_rate).min(1.0);
-        // A Poisson process with a varying rate: drawn at the peak rate, then thinned.
-        if generator.rng.random_bool(rate_part) {
+        let keep_probability = (day.rate_at(at) / generator.peak_rate).min(1.0);
+        // A Poisson process with a varying rate is drawn at the peak rate, then thinned.
+        if generator.rng.random_bool(keep_probability) {
             let visit = generator.visit(at);
             all.push(Arrival { at, visit });
         }
     }
 }
 
-struct Generator<'a> {
+/// Draws arrivals and what the players do.
+struct ArrivalGenerator<'a> {
     day: &'a Day,
     config: &'a Config,
     rng: StdRng,
-    /// Titles in the order of their popularity.
+    /// Titles by popularity, the most popular first.
     titles: Vec<&'a String>,
     title_weights: Vec<f64>,
-    /// Arrivals a second with all bursts together.
+    /// Arrivals a second as if all bursts were active at the same time; an upper bound of the rate.
     peak_rate: f64,
 }
 
-impl<'a> Generator<'a> {
-    fn new(day: &'a Day, config: &'a Config, seed: u64) -> Generator<'a> {
+impl<'a> ArrivalGenerator<'a> {
+    fn new(day: &'a Day, config: &'a Config, seed: u64) -> ArrivalGenerator<'a> {
         let mut titles: Vec<&String> = config.titles.keys().collect();
         titles.sort();
         let title_weights = (1..=titles.len())
-            .map(|rank| (rank as f64).powf(-day.zipf))
+            .map(|rank| (rank as f64).powf(-day.zipf_exponent))
             .collect();
         let burst_factors = day.faults.iter().map(|fault| match fault.kind {
             Kind::Burst(times) => times.max(1.0),
             _ => 1.0,
         });
-        Generator {
+        ArrivalGenerator {
             day,
             config,
             rng: StdRng::seed_from_u64(seed),
@@ -77,18 +78,19 @@
         }
     }
 
+    /// Draws from an exponential distribution.
     fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.rng.random::<f64>()).ln()
     }
 
-    /// Draws a visit. The order of the draws decides what a seed gives.
+    /// Draws a visit. A different order of the draws would change the visits of every seed.
     fn visit(&mut self, at: Duration) -> Visit {
         let title = self.title(at);
-        let class = pick(&mut self.rng, &self.day.share).unwrap_or(0);
+        let class = pick(&mut self.rng, &self.day.class_shares).unwrap_or(0);
         let rungs = self.config.settings.rung_kb.len() as u8;
-        let small_screen = self.rng.random_bool(SMALL_SCREEN_PART);
+        let small_screen = self.rng.random_bool(SMALL_SCREEN_FRACTION);
         let seed = self.rng.random();
-        let mean_watch = self.day.watch;
+        let mean_watch = self.day.mean_watch_time;
         let watch = self.exponential(nanoseconds(mean_watch) as f64) as u64;
         Visit {
             seed,
@@ -99,15 +101,16 @@
             },
             watch: Duration::from_nanos(watch).clamp(mean_watch / 10, mean_watch * 4),
             patience: self.config.terms.max_wait[class],
-            top: if small_screen { rungs / 2 } else { rungs - 1 },
+            highest_rung: if small_screen { rungs / 2 } else { rungs - 1 },
             fronts: Vec::new(),
         }
     }
 
-    /// The title by number: that of a load surge for its part of the players, otherwise by popularity.
+    /// Draws the number of a title. During a load surge its fraction of the players gets its title; the other players choose
+    /// by popularity.
     fn title(&mut self, at: Duration) -> usize {
-        if let Some((title, part)) = self.day.load_surge_at(at) {
-            if self.rng.random_bool(part) {
+        if let Some((title, fraction)) = self.day.load_surge_at(at) {
+            if self.rng.random_bool(fraction) {
                 return title % self.titles.len();
             }
         }
@@ -115,11 +118,11 @@
     }
 }
 
-/// Draws an index with these weights; `None` where rounding leaves a rest.
+/// Draws an index with these weights. `None` where rounding errors leave a remainder after the last weight.
 fn pick(rng: &mut StdRng, weights: &[f64]) -> Option<usize> {
-    let mut left = rng.random_range(0.0..weights.iter().sum());
+    let mut remaining = rng.random_range(0.0..weights.iter().sum());
     weights.iter().position(|weight| {
-        left -= weight;
-        left < 0.0
+        remaining -= weight;
+        remaining < 0.0
     })
 }
--- a/crates/testbed/src/scenario_runner/faults.rs
+++ b/crates/testbed/src/scenario_runner/faults.rs
@@ -1,10 +1,10 @@
-//! How the faults of a day begin and end at its fronts and stand-ins.
-use super::front::Front;
+//! Starts and ends the faults of a scenario at its fronts, simulated servers and list service.
+use super::front::FrontProcess;
 use crate::fault_mode::ResponseFault;
 use crate::list_service::entry;
 use crate::record::Seen;
-use crate::script::{Fault, Kind};
-use crate::stage::Stage;
+use crate::script::{Kind, ScheduledFault};
+use crate::stage::SimulatedBackend;
 use crankpaddle_net::clock;
 use crankpaddle_server_protocol::list::EndpointState;
 use rustix::process::Signal;
@@ -12,7 +12,8 @@
 
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
-impl Stage {
+impl SimulatedBackend {
+    /// Sends a new state of a server through the list service.
     fn change_listing(&self, server: u32, state: EndpointState) {
         let address = self.fleet.servers[server as usize].address;
         let started_ms = if state == EndpointState::Ready {
@@ -24,17 +25,17 @@
         self.list.change(listing);
     }
 
-    /// Begins a fault.
-    pub(super) fn begin(&self, fault: &Fault, fronts: &[Front]) {
+    /// Starts a fault.
+    pub(super) fn begin(&self, fault: &ScheduledFault, fronts: &[FrontProcess]) {
         for &server in &fault.servers {
             self.begin_at_server(&fault.kind, server);
         }
         match &fault.kind {
-            Kind::Slow(by) => self.fleet.set_slow(*by),
-            Kind::ListLate(by) => self.list.set_delay(self.list_delay + *by),
+            Kind::Slow(divisor) => self.fleet.set_slow(*divisor),
+            Kind::ListLate(extra_delay) => self.list.set_delay(self.list_delay + *extra_delay),
             Kind::ListGone => self.list.set_gone(true),
-            Kind::Stall(which) => {
-                for &front in which {
+            Kind::Stall(numbers) => {
+                for &front in numbers {
                     self.recorder.see(Seen::Stalled {
                         front,
                         stopped: true,
@@ -50,9 +51,9 @@
         let fleet = &self.fleet;
         match *kind {
             Kind::Hang => fleet.set_mode(server, |mode| mode.hangs = true),
-            Kind::FastErrors(part) => fleet.set_mode(server, |mode| mode.errors = part),
-            Kind::BillAndReset(part) => {
-                fleet.set_mode(server, |mode| mode.bills_and_resets = part);
+            Kind::FastErrors(fraction) => fleet.set_mode(server, |mode| mode.errors = fraction),
+            Kind::BillAndReset(fraction) => {
+                fleet.set_mode(server, |mode| mode.bills_and_resets = fraction);
             }
             Kind::Trickle => fleet.set_mode(server, |mode| mode.trickles = true),
             Kind::ResponseFault(response_fault) => {
@@ -72,7 +73,7 @@
     }
 
     /// Ends a fault.
-    pub(super) fn end(&self, fault: &Fault, fronts: &[Front]) -> io::Result<()> {
+    pub(super) fn end(&self, fault: &ScheduledFault, fronts: &[FrontProcess]) -> io::Result<()> {
         for &server in &fault.servers {
             self.end_at_server(&fault.kind, server)?;
         }
@@ -80,8 +81,8 @@
             Kind::Slow(_) => self.fleet.set_slow(1.0),
             Kind::ListLate(_) => self.list.set_delay(self.list_delay),
             Kind::ListGone => self.list.set_gone(false),
-            Kind::Stall(which) => {
-                for &front in which {
+            Kind::Stall(numbers) => {
+                for &front in numbers {
                     fronts[front as usize].process.signal(Signal::CONT);
                     self.recorder.see(Seen::Stalled {
                         front,
--- a/crates/testbed/src/scenario_runner/front.rs
+++ b/crates/testbed/src/scenario_runner/front.rs
@@ -1,37 +1,39 @@
-//! The fronts of a day, each a process of its own.
+//! The fronts of a scenario, each a process of its own.
 use super::Play;
 use crate::process::{with_workers, Process};
 use crate::script::{front_block, Day};
-use crate::stage::Stage;
+use crate::stage::SimulatedBackend;
 use std::io;
 
 /// A front's process.
-pub(super) struct Front {
+pub(super) struct FrontProcess {
     pub(super) process: Process,
-    /// Its zone by number.
+    /// Number of the front's zone.
     pub(super) zone: usize,
 }
 
-impl Front {
+impl FrontProcess {
+    /// Writes the configuration of the front with number `index` and starts it. `peers` is its block about the other fronts,
+    /// empty where the fronts don't know each other.
     pub(super) fn start(
         play: &Play,
         index: u32,
         day: &Day,
-        stage: &Stage,
+        backend: &SimulatedBackend,
         peers: &str,
-    ) -> io::Result<Front> {
-        let zones = &stage.config.zones;
+    ) -> io::Result<FrontProcess> {
+        let zones = &backend.config.zones;
         let zone = index as usize % zones.len();
         let cache = play.dir.join(format!("front-{index}.list"));
         let block = front_block(
             index,
             day.fronts,
             &zones[zone],
-            &stage.list.address.to_string(),
+            &backend.list.address.to_string(),
             &cache.to_string_lossy(),
         );
-        let text = with_workers(&block, play.workers) + peers + &stage.config_text;
+        let text = with_workers(&block, play.workers) + peers + &backend.config_text;
         let process = Process::start(&play.exe, &play.dir, &format!("front-{index}"), &text)?;
-        Ok(Front { process, zone })
+        Ok(FrontProcess { process, zone })
     }
 }
--- a/crates/testbed/src/scenario_runner/mod.rs
+++ b/crates/testbed/src/scenario_runner/mod.rs
@@ -1,9 +1,9 @@
-//! Plays a scripted day: fronts as processes of their own, everything else as stand-ins in this process.
+//! Plays a scripted scenario: fronts run as processes of their own, everything else is simulated in this process.
 //!
 //! - `front`: the fronts' processes;
-//! - `faults`: how the day's faults begin and end at fronts and stand-ins;
-//! - `arrivals`: the players that come;
-//! - `timeline`: the run itself;
+//! - `faults`: start and end of the scenario's faults;
+//! - `arrivals`: when players arrive, and what they watch;
+//! - `timeline`: faults and arrivals at their times, and the wait for the end;
 //! - `recording`: records on disk.
 mod arrivals;
 mod faults;
@@ -11,22 +11,22 @@
 mod recording;
 mod timeline;
 
-use crate::crossing::{crossed, Crossed, FlowKey};
+use crate::crossing::{crossed, CrossZoneTraffic, FlowKey};
 use crate::invariant_checker::{judge, Rules, Verdict};
 use crate::membership_poll::MembershipPoll;
-use crate::player::Habits;
+use crate::player::PlayerBehavior;
 use crate::process::end_all;
 use crate::record::{Record, Seen};
 use crate::script::Day;
 pub use crate::stage::layout;
-use crate::stage::Stage;
+use crate::stage::SimulatedBackend;
 use crate::udp_proxy::{write_key, PeerNetwork};
 pub use arrivals::{arrivals, Arrival};
 use crankpaddle_cross_zone_traffic::report::{merge, TrafficReport};
 use crankpaddle_net::clock;
 use crankpaddle_time::{nanoseconds, Time};
 use crankpaddle_traffic_report::fetch;
-use front::Front;
+use front::FrontProcess;
 pub use recording::{read_records, write_records};
 use std::collections::BTreeMap;
 use std::io;
@@ -34,57 +34,58 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Tolerance of the rules for scheduling: stand-ins and players share the cores with the fronts.
+/// Tolerance of the rules for scheduling delays: simulated servers and players share the cores with the fronts.
 pub const TIMING_TOLERANCE: Duration = Duration::from_millis(150);
-/// Grace of the rules for draining servers.
+/// Drain grace of the rules: a front may send sessions to a draining server for this long after it was notified.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(1);
-/// Seconds that a front may take to settle its traffic report.
+/// Seconds to wait until a front's traffic report has no unsettled sessions.
 const SETTLED_WITHIN_SECONDS: u32 = 15;
-/// Time for one request of a traffic report.
+/// Timeout of one request for a traffic report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time beyond its configured drain in which a front's process must end.
+/// A front's process must end within its configured drain time and this time.
 const PROCESS_END_GRACE: Duration = Duration::from_secs(5);
-/// Time between two probes of fronts that know each other, as configured.
+/// Time between two probes of fronts that know each other, as a value of their configuration.
 const PROBE_INTERVAL: &str = "1s";
-/// Bytes by which the counts of servers and players may always differ.
+/// Bytes by which the counts of servers and players may differ in any run.
 const BYTE_TOLERANCE: u64 = 1_000_000;
 
-/// How a day is played.
+/// How a scenario is played.
 #[derive(Clone, Debug)]
 pub struct Play {
-    /// The program that runs a front: called as `EXE front -c FILE`.
+    /// The program that runs a front; it is called as `EXE front -c FILE`.
     pub exe: PathBuf,
-    /// Seed of everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Directory for configurations, cached lists and the fronts' logs.
+    /// Directory for the fronts' configurations, cached endpoint lists and logs.
     pub dir: PathBuf,
-    /// Worker threads of each front.
+    /// Number of worker threads of each front.
     pub workers: u32,
-    /// Whether the fronts know of each other, over a network without faults.
+    /// Whether the fronts form a membership, over a network without faults.
     pub peers: bool,
 }
 
-/// What a day showed.
+/// The results of a scenario.
 #[derive(Debug)]
 pub struct Outcome {
     /// The result of the invariant checker.
     pub verdict: Verdict,
-    /// All records.
+    /// All records, sorted by time.
     pub records: Vec<Record>,
-    /// What went wrong outside the rules: fronts that ended badly, streams left at servers, bytes that differ.
+    /// Descriptions of what went wrong outside the rules: fronts that ended with an error, streams left at servers, byte counts
+    /// that differ.
     pub faults: Vec<String>,
-    /// Media bytes as both sides counted them.
+    /// Media bytes as servers and players counted them.
     pub bytes: ByteCounts,
-    /// Traffic between zones and utility, by the servers' own records.
-    pub crossed: Crossed,
-    /// The fronts' traffic reports, merged.
+    /// Cross-zone traffic and utility according to the servers' records.
+    pub crossed: CrossZoneTraffic,
+    /// The traffic reports of all fronts, merged into one.
     pub reported: TrafficReport,
-    /// When arrivals began, on the test bed's clock.
+    /// When arrivals began, on the clock of the records.
     pub start: Time,
 }
 
 impl Outcome {
-    /// Bytes of each flow.
+    /// Media bytes of each flow, as the servers recorded and as the fronts reported them.
     #[must_use]
     pub fn flows(&self) -> BTreeMap<FlowKey, FlowBytes> {
         let mut all: BTreeMap<FlowKey, FlowBytes> = BTreeMap::new();
@@ -102,48 +103,52 @@
         all
     }
 
-    /// Whether no rule was broken and nothing else went wrong.
+    /// Whether all rules were kept and nothing else went wrong.
     #[must_use]
     pub fn good(&self) -> bool {
         self.verdict.breaches.is_empty() && self.faults.is_empty()
     }
 }
 
-/// How a day's players behave.
+/// The behaviour of a scenario's players.
 #[must_use]
-pub fn habits(day: &Day) -> Habits {
-    Habits {
-        returns: day.returns,
-        return_after: day.return_after,
-        follows_retry_after: day.follows_retry_after,
-        reconnect: day.reconnect,
-        keeps_key: false,
+pub fn habits(day: &Day) -> PlayerBehavior {
+    PlayerBehavior {
+        return_fraction: day.return_fraction,
+        mean_return_delay: day.mean_return_delay,
+        retry_after_fraction: day.retry_after_fraction,
+        reconnect_fraction: day.reconnect_fraction,
+        retries_with_same_key: false,
     }
 }
 
-/// Plays a day to its end. Call on a thread, after [`crankpaddle_net::start`].
+/// Plays a scenario to its end. It blocks, so it must be called on a thread and not in a coroutine, and after
+/// [`crankpaddle_net::start`].
 ///
 /// # Errors
-/// A front or a stand-in could not be started, or a file not be written.
+/// A front, a simulated server or the list service could not be started, or a file could not be written.
 pub fn play(day: &Day, play: &Play) -> io::Result<Outcome> {
     std::fs::create_dir_all(&play.dir)?;
-    let stage = Stage::start(day, play.seed)?;
-    let config = &stage.config;
+    let backend = SimulatedBackend::start(day, play.seed)?;
+    let config = &backend.config;
     let peering = Peering::start(day, play)?;
-    let mut fronts = start_fronts(day, play, &stage, peering.as_ref())?;
+    let mut fronts = start_fronts(day, play, &backend, peering.as_ref())?;
     let start = clock::now();
-    let run_result = timeline::run(day, play, &stage, &fronts);
+    let run_result = timeline::run(day, play, &backend, &fronts);
     let addresses = fronts.iter().map(|front| &front.process.address);
     let reported = merge(addresses.filter_map(settled_report));
     if let Some(peering) = &peering {
         peering.membership_poll.end();
     }
-    // Why: the fronts are ended before the result of the run is looked at, so that none is left behind.
+    // The fronts are ended before the result of the run is checked, so that an error leaves no front running.
     let mut faults = Vec::new();
-    let within = config.limits.drain + PROCESS_END_GRACE;
-    faults.extend(end_all(fronts.iter_mut().map(|f| &mut f.process), within)?);
+    let end_timeout = config.limits.drain + PROCESS_END_GRACE;
+    faults.extend(end_all(
+        fronts.iter_mut().map(|front| &mut front.process),
+        end_timeout,
+    )?);
     faults.extend(run_result?);
-    let records = stage.recorder.all();
+    let records = backend.recorder.all();
     let bytes = count_bytes(&records);
     faults.extend(bytes.difference(day));
     let verdict = judge(&Rules::of(config, DRAIN_GRACE, TIMING_TOLERANCE), &records);
@@ -159,7 +164,7 @@
     })
 }
 
-/// The network between fronts that know each other.
+/// The network between fronts that form a membership, and the poll of what they report of each other.
 struct Peering {
     network: PeerNetwork,
     key: PathBuf,
@@ -167,7 +172,7 @@
 }
 
 impl Peering {
-    /// Starts the network; `None` where the fronts don't know each other.
+    /// Starts the network. `None` where the fronts don't form a membership.
     fn start(day: &Day, play: &Play) -> io::Result<Option<Peering>> {
         if !play.peers {
             return Ok(None);
@@ -183,23 +188,26 @@
         }))
     }
 
-    /// The peers' block of a front's configuration.
+    /// The block of a front's configuration about its peers.
     fn block(&self, front: usize) -> String {
-        self.network.block(front, &[0], &self.key, PROBE_INTERVAL)
+        self.network
+            .peers_block(front, &[0], &self.key, PROBE_INTERVAL)
     }
 }
 
 fn start_fronts(
     day: &Day,
     play: &Play,
-    stage: &Stage,
+    backend: &SimulatedBackend,
     peering: Option<&Peering>,
-) -> io::Result<Vec<Front>> {
+) -> io::Result<Vec<FrontProcess>> {
     let mut fronts = Vec::new();
     for index in 0..day.fronts {
         let number = index as usize;
-        let peers = peering.map(|p| p.block(number)).unwrap_or_default();
-        let front = Front::start(play, index, day, stage, &peers)?;
+        let peers = peering
+            .map(|peering| peering.block(number))
+            .unwrap_or_default();
+        let front = FrontProcess::start(play, index, day, backend, &peers)?;
         if let Some(peering) = peering {
             peering
                 .membership_poll
@@ -210,7 +218,8 @@
     Ok(fronts)
 }
 
-/// A front's traffic report once all sessions in it are settled, or the last one in time.
+/// Polls a front's traffic report until it has no unsettled sessions, and returns the last report. `None` where a request
+/// failed.
 fn settled_report(front: &SocketAddr) -> Option<TrafficReport> {
     let mut last = None;
     for _ in 0..SETTLED_WITHIN_SECONDS {
@@ -225,23 +234,23 @@
     last
 }
 
-/// Media bytes as both sides counted them.
+/// Media bytes of a run as servers and players counted them.
 #[derive(Clone, Copy, Debug)]
 pub struct ByteCounts {
-    /// Bytes that servers sent.
+    /// Number of bytes that servers sent.
     pub sent: u64,
-    /// Bytes that players read.
+    /// Number of bytes that players read.
     pub read: u64,
-    /// Sessions that players read.
+    /// Number of sessions whose media a player read.
     watched_sessions: u64,
 }
 
-/// Bytes of a flow as both sides counted them.
+/// Media bytes of a flow as servers and fronts counted them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FlowBytes {
-    /// By the servers' own records.
+    /// Number of bytes by the servers' records.
     pub sent: u64,
-    /// By the fronts' reports.
+    /// Number of bytes by the fronts' traffic reports.
     pub reported: u64,
 }
 
@@ -265,14 +274,14 @@
 }
 
 impl ByteCounts {
-    /// The fault where the two counts differ by more than what was in transit.
+    /// A description of the fault where the two counts differ by more than what can be in transit; otherwise `None`.
     fn difference(&self, day: &Day) -> Option<String> {
         let (sent, read) = (self.sent, self.read);
-        let mean = read.checked_div(self.watched_sessions).unwrap_or(0);
-        // A session that breaks off leaves at most a segment between the two counts.
-        let segment = nanoseconds(day.segment).max(1);
-        let watch = nanoseconds(day.watch).max(1);
-        let allowed = sent / 50 + mean * segment / watch * 10;
+        let mean_bytes = read.checked_div(self.watched_sessions).unwrap_or(0);
+        // The counts of a session that breaks off differ by a segment at most.
+        let segment = nanoseconds(day.segment_length).max(1);
+        let watch_time = nanoseconds(day.mean_watch_time).max(1);
+        let allowed = sent / 50 + mean_bytes * segment / watch_time * 10;
         (sent.abs_diff(read) > allowed + BYTE_TOLERANCE)
             .then(|| format!("servers sent {sent} media bytes and players read {read}"))
     }
--- a/crates/testbed/src/scenario_runner/recording.rs
+++ b/crates/testbed/src/scenario_runner/recording.rs
@@ -1,10 +1,10 @@
-//! Recordings on disk: records as JSON lines.
+//! Writes records to disk and reads them, one JSON object a line.
 use crate::record::Record;
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::Path;
 
-/// Writes records as JSON lines.
+/// Writes records to a file, one JSON object a line.
 ///
 /// # Errors
 /// The file can't be written.
@@ -20,12 +20,12 @@
 /// Reads records that [`write_records`] wrote.
 ///
 /// # Errors
-/// The file can't be read, or a line is no record; the error names the line.
+/// The file can't be read, or a line is not a record; the error names the line.
 pub fn read_records(path: &Path) -> io::Result<Vec<Record>> {
     let lines = BufReader::new(File::open(path)?).lines().enumerate();
-    let read = |(index, line): (usize, io::Result<String>)| {
+    let parse = |(index, line): (usize, io::Result<String>)| {
         serde_json::from_str(&line?)
-            .map_err(|e| io::Error::other(format!("line {}: {e}", index + 1)))
+            .map_err(|error| io::Error::other(format!("line {}: {error}", index + 1)))
     };
-    lines.map(read).collect()
+    lines.map(parse).collect()
 }
--- a/crates/testbed/src/scenario_runner/timeline.rs
+++ b/crates/testbed/src/scenario_runner/timeline.rs
@@ -1,9 +1,9 @@
-//! The run of a day: its faults and arrivals in the order of their times, then the wait for its end.
-use super::front::Front;
+//! Runs a scenario: starts its faults and players at their times, then waits for the end of the players and streams.
+use super::front::FrontProcess;
 use super::{arrivals, habits, Arrival, Play};
 use crate::player::{FrontAddress, PlayerPool};
-use crate::script::{Day, Fault};
-use crate::stage::Stage;
+use crate::script::{Day, ScheduledFault};
+use crate::stage::SimulatedBackend;
 use crate::wind_down::{wait_for_players, wait_for_streams};
 use crankpaddle_net::{clock, spawn, Stack};
 use crankpaddle_time::Time;
@@ -13,46 +13,48 @@
 use std::time::Duration;
 use std::vec::IntoIter;
 
-/// After the day's end sessions are watched for this long at most.
+/// Maximum time that a session is watched after the end of the scenario.
 const WATCH_AFTER_END: Duration = Duration::from_secs(10);
-/// After the last arrival the players have this long to leave.
+/// Time for all players to leave after the end of the scenario.
 const PLAYERS_LEAVE_WITHIN: Duration = Duration::from_secs(40);
 
-/// The begin or end of a fault, and its time from the start of the day.
+/// The start or end of a fault.
 struct Transition<'a> {
+    /// Time since the start of the scenario.
     at: Duration,
     begins: bool,
-    fault: &'a Fault,
+    fault: &'a ScheduledFault,
 }
 
 struct Timeline<'a> {
     day: &'a Day,
-    stage: &'a Stage,
-    fronts: &'a [Front],
+    backend: &'a SimulatedBackend,
+    fronts: &'a [FrontProcess],
     players: Arc<PlayerPool>,
+    /// The fronts that players of a zone choose from; the index is the zone's number.
     fronts_by_zone: Vec<Vec<FrontAddress>>,
     transitions: Peekable<IntoIter<Transition<'a>>>,
     arrivals: Peekable<IntoIter<Arrival>>,
-    /// When the day started.
+    /// When the scenario started.
     start: Time,
 }
 
-/// Runs a day; what was not as it must be outside the rules.
+/// Runs a scenario. Returns descriptions of what went wrong outside the rules.
 pub(super) fn run(
     day: &Day,
     play: &Play,
-    stage: &Stage,
-    fronts: &[Front],
+    backend: &SimulatedBackend,
+    fronts: &[FrontProcess],
 ) -> io::Result<Vec<String>> {
-    let players = Arc::new(PlayerPool::new(stage.recorder.clone(), habits(day)));
-    let zones = 0..stage.config.zones.len();
+    let players = Arc::new(PlayerPool::new(backend.recorder.clone(), habits(day)));
+    let zones = 0..backend.config.zones.len();
     let mut timeline = Timeline {
         day,
-        stage,
+        backend,
         fronts,
         players: players.clone(),
         transitions: transitions(day).into_iter().peekable(),
-        arrivals: arrivals(day, &stage.config, play.seed)
+        arrivals: arrivals(day, &backend.config, play.seed)
             .into_iter()
             .peekable(),
         fronts_by_zone: zones.map(|zone| fronts_for_zone(fronts, zone)).collect(),
@@ -62,15 +64,17 @@
     timeline.run_to_end()?;
     let mut faults = Vec::new();
     faults.extend(wait_for_players(&players, deadline));
-    faults.extend(wait_for_streams(&stage.fleet));
+    faults.extend(wait_for_streams(&backend.fleet));
     let failed_connects = players.failed_connects();
     if failed_connects > 0 {
-        faults.push(format!("{failed_connects} tries found no front"));
+        faults.push(format!(
+            "{failed_connects} attempts could not connect to a front"
+        ));
     }
     Ok(faults)
 }
 
-/// Begins and ends of all faults in the order of time.
+/// The starts and ends of all faults, sorted by time.
 fn transitions(day: &Day) -> Vec<Transition<'_>> {
     let mut transitions = Vec::new();
     for fault in &day.faults {
@@ -89,9 +93,9 @@
     transitions
 }
 
-/// The fronts of a zone; all fronts where it has none.
-fn fronts_for_zone(fronts: &[Front], zone: usize) -> Vec<FrontAddress> {
-    let addresses_where = |accepts: &dyn Fn(&Front) -> bool| -> Vec<FrontAddress> {
+/// The fronts of a zone, or all fronts where the zone has none.
+fn fronts_for_zone(fronts: &[FrontProcess], zone: usize) -> Vec<FrontAddress> {
+    let addresses_where = |accepts: &dyn Fn(&FrontProcess) -> bool| -> Vec<FrontAddress> {
         let numbered = fronts.iter().enumerate();
         numbered
             .filter(|(_, front)| accepts(front))
@@ -131,10 +135,10 @@
             return Ok(());
         };
         if begins {
-            self.stage.begin(fault, self.fronts);
+            self.backend.begin(fault, self.fronts);
             return Ok(());
         }
-        self.stage.end(fault, self.fronts)
+        self.backend.end(fault, self.fronts)
     }
 
     fn start_next_arrival(&mut self) {
@@ -143,7 +147,7 @@
         };
         let zones = self.fronts_by_zone.len() as u64;
         visit.fronts = self.fronts_by_zone[(visit.seed % zones) as usize].clone();
-        // Why: a few long sessions would keep the run going long after the day.
+        // Without this limit a few long sessions would extend the run far beyond the end of the scenario.
         visit.watch = visit.watch.min(self.day.length - at + WATCH_AFTER_END);
         let players = self.players.clone();
         let until = self.start + self.day.length;
--- a/crates/testbed/src/script/check.rs
+++ b/crates/testbed/src/script/check.rs
@@ -1,5 +1,5 @@
-//! Reads a day from protobuf text format and checks its values.
-use super::{fleet_config, Day, Fault, Kind};
+//! Reads a scenario from protobuf text format and checks its values.
+use super::{fleet_config, Day, Kind, ScheduledFault};
 use crate::fault_mode::ResponseFault;
 use crankpaddle_config::Problem;
 use crankpaddle_textproto::Checks;
@@ -7,22 +7,22 @@
 use std::fmt;
 use std::time::Duration;
 
-#[allow(missing_docs, unreachable_pub)] // Generated; the schema has comments of its own.
+#[allow(missing_docs, unreachable_pub)] // Generated from a schema that has comments of its own.
 mod schema {
     include!(concat!(env!("OUT_DIR"), "/crankpaddle.lab.v1.rs"));
 }
 
 const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/day.binpb"));
 const DAY_MESSAGE: &str = "crankpaddle.lab.v1.Day";
-/// The parts of all classes may differ from 1 by this much through rounding.
+/// The sum of the classes' shares may differ from 1 by this much because of rounding.
 const SHARE_TOLERANCE: f64 = 1e-6;
-const NO_KIND: &str = "has no kind: hang, fast_errors, crash, vanish, slow, burst, crowd, list_late, list_gone, stall, \
+const MISSING_KIND: &str = "has no kind: hang, fast_errors, crash, vanish, slow, burst, crowd, list_late, list_gone, stall, \
                        drain, bill_and_reset, trickle or astray";
 
-/// Checks a script. `fleet` returns the text of a fleet's configuration by its name.
+/// Reads and checks a script. `fleet` returns the text of a fleet's configuration by its name.
 ///
 /// # Errors
-/// Everything that is wrong in it, in the order of the file.
+/// All problems of the script, in the order of the file.
 pub fn parse<E: fmt::Display>(
     text: &str,
     fleet: impl Fn(&str) -> Result<String, E>,
@@ -31,8 +31,8 @@
     let raw = checks.structure::<schema::Day>(DESCRIPTORS, DAY_MESSAGE, "");
     let day = raw.map(|raw| {
         check_required(&mut checks, &raw);
-        let fleet_text = fleet(&raw.fleet).unwrap_or_else(|e| {
-            checks.wrong("fleet", e.to_string());
+        let fleet_text = fleet(&raw.fleet).unwrap_or_else(|error| {
+            checks.wrong("fleet", error.to_string());
             String::new()
         });
         check_day(&mut checks, &raw, fleet_text)
@@ -46,16 +46,16 @@
     checks.must(!raw.name.is_empty(), "name", "is missing");
 }
 
-/// What a day's fleet has, as far as a script refers to it.
-struct FleetSize {
+/// The properties of a fleet that a script refers to.
+struct FleetProperties {
     zones: Vec<String>,
     classes: usize,
     cells: u32,
 }
 
-fn check_fleet(checks: &mut Checks<'_>, fleet: &str) -> FleetSize {
+fn check_fleet(checks: &mut Checks<'_>, fleet: &str) -> FleetProperties {
     match fleet_config(fleet) {
-        Ok(config) => FleetSize {
+        Ok(config) => FleetProperties {
             classes: config.classes.len(),
             cells: config.settings.cells,
             zones: config.zones,
@@ -63,8 +63,8 @@
         Err(problems) => {
             let first = problems.first().map(ToString::to_string);
             let first = first.unwrap_or_default();
-            checks.wrong("fleet", format!("is no configuration: {first}"));
-            FleetSize {
+            checks.wrong("fleet", format!("is not a valid configuration: {first}"));
+            FleetProperties {
                 zones: vec![],
                 classes: 0,
                 cells: 1,
@@ -73,7 +73,7 @@
     }
 }
 
-/// A duration as a script states it.
+/// Parses a duration; reports a problem at `path` where it is invalid.
 fn duration(checks: &mut Checks<'_>, path: &str, text: &str) -> Duration {
     Duration::from_nanos(checks.time(path, text))
 }
@@ -83,7 +83,7 @@
     if count < cells {
         checks.wrong(
             "servers.count",
-            format!("is {count}; the fleet's {cells} cells need as many at least"),
+            format!("is {count}, but the fleet's {cells} cells need at least one server each"),
         );
     }
     count
@@ -95,7 +95,7 @@
     checks.must(
         fits,
         "traffic.share",
-        "is one part for each class, 1 in all",
+        "must have one value for each class, with the sum 1",
     );
 }
 
@@ -103,11 +103,11 @@
     let servers = raw.servers.clone().unwrap_or_default();
     let traffic = raw.traffic.clone().unwrap_or_default();
     let fleet = format!("{fleet_without_budgets}{}", raw.budgets);
-    let size = check_fleet(checks, &fleet);
-    let server_count = check_server_count(checks, servers.count, size.cells);
-    check_shares(checks, &traffic.share, size.classes);
+    let fleet_properties = check_fleet(checks, &fleet);
+    let server_count = check_server_count(checks, servers.count, fleet_properties.cells);
+    check_shares(checks, &traffic.share, fleet_properties.classes);
     let scope = FaultScope {
-        zones: &size.zones,
+        zones: &fleet_properties.zones,
         servers: server_count,
         fronts: checks.count("fronts", raw.fronts, 1, 200),
         day_length: duration(checks, "length", &raw.length),
@@ -132,23 +132,23 @@
         fleet_without_budgets,
         servers: server_count,
         cores: checks.count("servers.cores", servers.cores, 1, 256),
-        work: duration(checks, "servers.set_up_work", &servers.set_up_work),
-        uneven: checks.within("servers.uneven", servers.uneven, 0.0, 0.9),
-        segment: duration(checks, "servers.segment", &servers.segment),
+        set_up_work: duration(checks, "servers.set_up_work", &servers.set_up_work),
+        bandwidth_spread: checks.within("servers.uneven", servers.uneven, 0.0, 0.9),
+        segment_length: duration(checks, "servers.segment", &servers.segment),
         rate: checks.within("traffic.rate", traffic.rate, 0.001, 1e6),
-        share: traffic.share.clone(),
-        watch: duration(checks, "traffic.watch", &traffic.watch),
-        zipf: checks.within("traffic.zipf", traffic.zipf, 0.0, 5.0),
-        returns: checks.within("traffic.returns", traffic.returns, 0.0, 1.0),
-        return_after: duration(checks, "traffic.back_after", &traffic.back_after),
-        follows_retry_after: checks.within("traffic.honour", traffic.honour, 0.0, 1.0),
-        reconnect: checks.within("traffic.reconnect", traffic.reconnect, 0.0, 1.0),
+        class_shares: traffic.share.clone(),
+        mean_watch_time: duration(checks, "traffic.watch", &traffic.watch),
+        zipf_exponent: checks.within("traffic.zipf", traffic.zipf, 0.0, 5.0),
+        return_fraction: checks.within("traffic.returns", traffic.returns, 0.0, 1.0),
+        mean_return_delay: duration(checks, "traffic.back_after", &traffic.back_after),
+        retry_after_fraction: checks.within("traffic.honour", traffic.honour, 0.0, 1.0),
+        reconnect_fraction: checks.within("traffic.reconnect", traffic.reconnect, 0.0, 1.0),
         faults,
         list_delay: duration(checks, "list_delay", &raw.list_delay),
     }
 }
 
-/// What a fault may refer to.
+/// The parts of a scenario that a fault may refer to.
 struct FaultScope<'a> {
     zones: &'a [String],
     servers: u32,
@@ -164,7 +164,7 @@
 }
 
 impl FaultCheck<'_, '_> {
-    fn check(mut self, raw: &schema::Fault) -> Fault {
+    fn check(mut self, raw: &schema::Fault) -> ScheduledFault {
         let at_path = self.field("at");
         let at = duration(self.checks, &at_path, &raw.at);
         let length_path = self.field("length");
@@ -176,7 +176,7 @@
         self.checks
             .must(names_servers, &self.path, "names no server and no zone");
         let kind = self.kind(raw.kind.as_ref());
-        Fault {
+        ScheduledFault {
             at,
             length,
             servers,
@@ -188,42 +188,44 @@
         format!("{}.{name}", self.path)
     }
 
-    fn part(&mut self, field: &str, value: f64) -> f64 {
+    /// Checks a value from 0 to 1.
+    fn fraction(&mut self, field: &str, value: f64) -> f64 {
         let path = self.field(field);
         self.checks.within(&path, value, 0.0, 1.0)
     }
 
-    /// The servers that are named by number and by zone.
+    /// Numbers of the servers that the fault names by number and by zone.
     fn servers(&mut self, raw: &schema::Fault) -> Vec<u32> {
         let FaultScope { zones, servers, .. } = *self.scope;
-        let mut named = raw.server.clone();
-        if named.iter().any(|server| *server >= servers) {
+        let mut servers_of_fault = raw.server.clone();
+        if servers_of_fault.iter().any(|server| *server >= servers) {
             let path = self.field("server");
             let allowed = format!("allowed: 0 to {}", servers - 1);
             self.checks.wrong(&path, allowed);
         }
         if raw.zone.is_empty() {
-            return named;
+            return servers_of_fault;
         }
         if let Some(zone) = zones.iter().position(|name| *name == raw.zone) {
-            named.extend((0..servers).filter(|server| *server as usize % zones.len() == zone));
+            servers_of_fault
+                .extend((0..servers).filter(|server| *server as usize % zones.len() == zone));
         } else {
             let path = self.field("zone");
             let known = zones.join(", ");
             let what = format!("{:?} is not a zone: {known}", raw.zone);
             self.checks.wrong(&path, what);
         }
-        named
+        servers_of_fault
     }
 
     fn kind(&mut self, raw: Option<&RawKind>) -> Kind {
         let Some(raw) = raw else {
-            self.checks.wrong(&self.path, NO_KIND);
+            self.checks.wrong(&self.path, MISSING_KIND);
             return Kind::Hang;
         };
         match raw {
             RawKind::Hang(_) => Kind::Hang,
-            RawKind::FastErrors(f) => Kind::FastErrors(self.part("fast_errors.part", f.part)),
+            RawKind::FastErrors(f) => Kind::FastErrors(self.fraction("fast_errors.part", f.part)),
             RawKind::Crash(_) => Kind::Crash,
             RawKind::Vanish(_) => Kind::Vanish,
             RawKind::Slow(f) => {
@@ -233,7 +235,9 @@
                 let path = self.field("burst.times");
                 Kind::Burst(self.checks.within(&path, f.times, 0.0, 100.0))
             }
-            RawKind::Crowd(f) => Kind::LoadSurge(f.title as usize, self.part("crowd.part", f.part)),
+            RawKind::Crowd(f) => {
+                Kind::LoadSurge(f.title as usize, self.fraction("crowd.part", f.part))
+            }
             RawKind::ListLate(f) => {
                 let path = self.field("list_late.by");
                 Kind::ListLate(duration(self.checks, &path, &f.by))
@@ -242,7 +246,7 @@
             RawKind::Stall(f) => self.stall(f),
             RawKind::Drain(_) => Kind::Drain,
             RawKind::BillAndReset(f) => {
-                Kind::BillAndReset(self.part("bill_and_reset.part", f.part))
+                Kind::BillAndReset(self.fraction("bill_and_reset.part", f.part))
             }
             RawKind::Trickle(_) => Kind::Trickle,
             RawKind::Astray(f) => self.response_fault(f),
@@ -252,7 +256,11 @@
     fn stall(&mut self, raw: &schema::Stall) -> Kind {
         let path = self.field("stall.front");
         let known = raw.front.iter().all(|front| *front < self.scope.fronts);
-        self.checks.must(known, &path, "is no front of this day");
+        self.checks.must(
+            known,
+            &path,
+            "names a front that the scenario does not have",
+        );
         Kind::Stall(raw.front.clone())
     }
 
@@ -265,13 +273,13 @@
         };
         Kind::ResponseFault(ResponseFault {
             late,
-            lost: self.part("astray.lost", raw.lost),
-            duplicated: self.part("astray.doubled", raw.doubled),
+            lost: self.fraction("astray.lost", raw.lost),
+            duplicated: self.fraction("astray.doubled", raw.doubled),
         })
     }
 }
 
-/// Whether a fault falls on servers; the others fall on all, on fronts, on players or on the list service.
+/// Whether a fault must name servers. The other kinds affect all servers, fronts, players or the list service.
 fn needs_servers(kind: Option<&RawKind>) -> bool {
     !matches!(
         kind,
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted days: a fleet, its traffic and its faults, as files in protobuf text format.
+//! Scripted scenarios: a fleet, its traffic and its faults, as files in protobuf text format.
 //!
 //! `check` reads a file and reports every problem with its line, column and what is allowed.
 mod check;
@@ -11,10 +11,10 @@
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// The built-in fleet: a configuration without its front block.
+/// The built-in fleet: a configuration of fronts without the front block.
 pub const FLEET: &str = include_str!("../../days/fleet.textproto");
 
-/// A built-in fleet by its name: the usual one, or one whose servers have a long slow start.
+/// The built-in fleet with this name: `fleet`, or `slow-to-warm`, whose servers have a longer slow start.
 #[must_use]
 pub fn built_in_fleet(name: &str) -> Option<String> {
     match name {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The built-in days by name.
+/// Names and texts of the built-in scenarios.
 pub const DAYS: [(&str, &str); 7] = [
     ("calm", include_str!("../../days/calm.textproto")),
     ("trouble", include_str!("../../days/trouble.textproto")),
@@ -40,98 +40,98 @@
     ("night", include_str!("../../days/night.textproto")),
 ];
 
-/// What a fault does.
+/// The kind of a fault, with its parameters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// Servers accept set-ups and answer nothing.
+    /// Servers accept set-ups but never answer.
     Hang,
-    /// Servers fail this part of the set-ups at once.
+    /// Servers answer this fraction of the set-ups with an immediate error.
     FastErrors(f64),
-    /// The servers' processes stop, and start again with the fault's end.
+    /// The servers' processes stop, and start again at the end of the fault.
     Crash,
-    /// Servers neither receive nor send, and start again with the fault's end.
+    /// Servers neither receive nor send, and restart at the end of the fault.
     Vanish,
-    /// The bandwidth of all links is divided by this.
+    /// The bandwidth of all links and uplinks is divided by this.
     Slow(f64),
     /// The rate of new players is multiplied by this.
     Burst(f64),
-    /// This part of the players wants this title, by number.
+    /// The title with this number is requested by this additional fraction of the players.
     LoadSurge(usize, f64),
-    /// The list service is late by this much more.
+    /// The delay of the list service is increased by this time.
     ListLate(Duration),
     /// The list service does not answer.
     ListGone,
-    /// The processes of these fronts are stopped.
+    /// The processes of the fronts with these numbers are stopped.
     Stall(Vec<u32>),
-    /// Servers are listed as draining; their sessions end with the fault.
+    /// Servers are listed as draining; their sessions end at the end of the fault.
     Drain,
-    /// Servers bill this part of the set-ups and reset the connection before the answer.
+    /// Servers bill this fraction of the set-ups and reset the connection before the answer.
     BillAndReset(f64),
-    /// Servers send responses byte by byte.
+    /// Servers send their responses byte by byte, one a second.
     Trickle,
-    /// The messages that servers send on their own are late, lost or duplicated.
+    /// The messages that servers send without a request are late, lost or duplicated.
     ResponseFault(ResponseFault),
 }
 
-/// A fault and its time.
+/// A fault of a scenario and its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
-    /// Its begin, from the start of the day.
+pub struct ScheduledFault {
+    /// Start of the fault, as the time since the start of the scenario.
     pub at: Duration,
-    /// Its length.
+    /// How long the fault lasts.
     pub length: Duration,
-    /// The servers it falls on.
+    /// Numbers of the servers that have the fault; empty for kinds that affect no single server.
     pub servers: Vec<u32>,
-    /// What it does.
+    /// What the fault does.
     pub kind: Kind,
 }
 
-/// A checked day.
+/// A scenario whose values have been checked.
 #[derive(Clone, Debug)]
 pub struct Day {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
     /// Time in which players arrive.
     pub length: Duration,
-    /// Number of fronts.
+    /// Number of front processes.
     pub fronts: u32,
     /// Text of the fronts' configuration, without the front block.
     pub fleet: String,
-    /// The same without budgets for traffic between zones.
+    /// The same text without budgets for cross-zone traffic.
     pub fleet_without_budgets: String,
-    /// Number of servers.
+    /// Number of simulated servers.
     pub servers: u32,
-    /// Cores of each server.
+    /// Number of cores of each server.
     pub cores: u32,
-    /// Processor time of a set-up.
-    pub work: Duration,
-    /// Part by which the bandwidths of links differ.
-    pub uneven: f64,
-    /// Length of a segment.
-    pub segment: Duration,
-    /// New sessions a second.
+    /// Processor time that a set-up takes at a server after its slow start.
+    pub set_up_work: Duration,
+    /// The bandwidths of links and uplinks differ from the configured ones by up to this fraction.
+    pub bandwidth_spread: f64,
+    /// Playing time of a media segment.
+    pub segment_length: Duration,
+    /// Number of new sessions a second, without bursts.
     pub rate: f64,
-    /// Part of the sessions of each class.
-    pub share: Vec<f64>,
-    /// Mean time watched.
-    pub watch: Duration,
-    /// Exponent of the titles' popularity.
-    pub zipf: f64,
-    /// Part of the viewers that return after a rejection or a failure.
-    pub returns: f64,
-    /// Mean time until they return without a Retry-After.
-    pub return_after: Duration,
-    /// Part of them that follows a Retry-After.
-    pub follows_retry_after: f64,
-    /// Part of the players that reconnect during an attempt.
-    pub reconnect: f64,
-    /// Its faults.
-    pub faults: Vec<Fault>,
-    /// Delay of the list service.
+    /// Fraction of the sessions that are of each class; the index is the class number.
+    pub class_shares: Vec<f64>,
+    /// Mean time that a session is watched.
+    pub mean_watch_time: Duration,
+    /// The n-th title is requested in proportion to 1 / n^`zipf_exponent`.
+    pub zipf_exponent: f64,
+    /// Fraction of the viewers that return after a rejection or a failure.
+    pub return_fraction: f64,
+    /// Mean time until they return where they don't follow a Retry-After.
+    pub mean_return_delay: Duration,
+    /// Fraction of the returning viewers that follow a Retry-After.
+    pub retry_after_fraction: f64,
+    /// Fraction of the players that disconnect during an attempt and reconnect.
+    pub reconnect_fraction: f64,
+    /// The faults, in the order of the script.
+    pub faults: Vec<ScheduledFault>,
+    /// Delay with which the list service sends changes, without faults.
     pub list_delay: Duration,
 }
 
-/// The front's block of a configuration, for one of `siblings` fronts.
+/// The front's block of a configuration, for the front with number `index` of `siblings` fronts.
 #[must_use]
 pub fn front_block(
     index: u32,
@@ -146,12 +146,12 @@
     )
 }
 
-/// Checks the fleet's part of a configuration as that of some front.
+/// Checks a configuration that lacks the front block, by adding the block of an arbitrary front.
 ///
 /// # Errors
 /// The problems of the configuration.
 pub fn fleet_config(fleet: &str) -> Result<Config, Vec<Problem>> {
-    // Why: a front needs a zone, and before parsing only the text has one; the first that is named will do.
+    // The front block must name a zone of the fleet. The text is not parsed yet, so the first zone is searched for in it.
     let first_zone = fleet
         .split("zone:")
         .nth(1)
@@ -163,14 +163,14 @@
     ))
 }
 
-impl Fault {
+impl ScheduledFault {
     fn is_active(&self, at: Duration) -> bool {
         (self.at..self.at + self.length).contains(&at)
     }
 }
 
 impl Day {
-    /// New sessions a second at a time of the day; a load surge adds none.
+    /// Number of new sessions a second at a time since the start of the scenario. A load surge adds none.
     #[must_use]
     pub fn rate_at(&self, at: Duration) -> f64 {
         let active = self.faults.iter().filter(|fault| fault.is_active(at));
@@ -181,19 +181,20 @@
         self.rate * factors.product::<f64>()
     }
 
-    /// The load surge at a time of the day: its title and its part of the players.
+    /// The load surge at a time since the start of the scenario: the number of its title and the fraction of the players that
+    /// it adds to it.
     #[must_use]
     pub fn load_surge_at(&self, at: Duration) -> Option<(usize, f64)> {
         self.faults
             .iter()
             .filter(|fault| fault.is_active(at))
             .find_map(|fault| match fault.kind {
-                Kind::LoadSurge(title, part) => Some((title, part)),
+                Kind::LoadSurge(title, fraction) => Some((title, fraction)),
                 _ => None,
             })
     }
 
-    /// Seconds in which players arrive.
+    /// Time in which players arrive, in seconds.
     #[must_use]
     pub fn seconds(&self) -> f64 {
         nanoseconds(self.length) as f64 / NANOSECONDS_PER_SECOND
--- a/crates/testbed/src/script/tests.rs
+++ b/crates/testbed/src/script/tests.rs
@@ -7,9 +7,9 @@
 }
 
 #[test]
-fn the_built_in_days_are_valid() {
+fn the_built_in_scenarios_are_valid() {
     for (name, text) in DAYS {
-        let day = read(text).unwrap_or_else(|p| panic!("{name}: {p:?}"));
+        let day = read(text).unwrap_or_else(|problems| panic!("{name}: {problems:?}"));
         assert_eq!(day.name, name);
     }
 }
@@ -33,7 +33,7 @@
         (
             "share: [0.35, 0.65]",
             "share: [0.35]",
-            "one part for each class",
+            "one value for each class",
         ),
     ] {
         assert!(good.contains(from), "{from}");
@@ -41,7 +41,7 @@
         assert!(
             problems
                 .iter()
-                .any(|p| p.what.contains(reported) && p.line > 1),
+                .any(|problem| problem.what.contains(reported) && problem.line > 1),
             "{from}: {problems:?}"
         );
     }
@@ -53,7 +53,7 @@
     let burst = day
         .faults
         .iter()
-        .find(|f| matches!(f.kind, Kind::Burst(_)))
+        .find(|fault| matches!(fault.kind, Kind::Burst(_)))
         .unwrap();
     assert!(day.rate_at(burst.at) > day.rate && day.rate_at(burst.at + burst.length) == day.rate);
 }
--- a/crates/testbed/src/udp_proxy.rs
+++ b/crates/testbed/src/udp_proxy.rs
@@ -115,7 +115,13 @@
 
     /// The block of a front's configuration with which it knows the others by this network.
     #[must_use]
-    pub fn block(&self, front: usize, seeds: &[usize], key: &Path, probe_every: &str) -> String {
+    pub fn peers_block(
+        &self,
+        front: usize,
+        seeds: &[usize],
+        key: &Path,
+        probe_every: &str,
+    ) -> String {
         let seed = |seed: &usize| {
             let address = self.address(front, *seed)?;
             Some(format!("  seed: \"{address}\"\n"))
--- a/crates/testbed/src/wind_down.rs
+++ b/crates/testbed/src/wind_down.rs
@@ -1,15 +1,15 @@
-//! The end of a run: players leave, and fronts end the sessions that nobody watches any more.
+//! Waits at the end of a run until players have left and fronts have ended the sessions without a viewer.
 use crate::player::PlayerPool;
 use crate::server::Fleet;
 use crankpaddle_net::clock;
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// Time beyond the resume window until which a front must have ended sessions without a viewer.
+/// A front must end sessions without a viewer within the resume window and this time.
 const SESSION_END_GRACE: Duration = Duration::from_secs(5);
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits until no player is there; the fault where some are left at the deadline.
+/// Waits until no player is present. Returns a description of the fault where players are left at the deadline.
 pub(crate) fn wait_for_players(players: &PlayerPool, deadline: Time) -> Option<String> {
     while players.present_count() > 0 && clock::now() < deadline {
         std::thread::sleep(CHECK_INTERVAL);
@@ -18,8 +18,8 @@
     (left > 0).then(|| format!("{left} players never left"))
 }
 
-/// Waits until the servers have no streams: a front ends sessions of absent players after the resume window. The fault
-/// where some are left.
+/// Waits until the servers have no streams: a front ends sessions of absent players after the resume window. Returns a
+/// description of the fault where streams are left.
 pub(crate) fn wait_for_streams(fleet: &Fleet) -> Option<String> {
     let deadline = clock::now() + fleet.config.terms.resume_window + SESSION_END_GRACE;
     while fleet.streams() > 0 && clock::now() < deadline {
