--- a/crates/testbed/src/disk.rs
+++ b/crates/testbed/src/disk.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a disk, in memory, that can be made full or slow.
+//! A simulated disk, in memory, that can be made full or slow.
 use redb::backends::InMemoryBackend;
 use redb::StorageBackend;
 use std::io::{Error, ErrorKind};
@@ -6,15 +6,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A disk that can be made full or slow. Copies share their state.
+/// A storage backend whose faults are switched on by its public fields. Clones share the same data and faults.
 #[derive(Clone, Debug)]
 pub struct Poor {
     inner: Arc<InMemoryBackend>,
-    /// Whether it is full: writes and syncs fail.
+    /// Whether the disk is full, so that writes and syncs fail.
     pub full: Arc<AtomicBool>,
-    /// Extra time of a sync, milliseconds.
+    /// Extra duration of each sync, milliseconds; 0 means none.
     pub slow: Arc<AtomicU64>,
-    /// Number of syncs so far.
+    /// Number of syncs that were started; syncs of a full disk are not counted.
     pub syncs: Arc<AtomicU64>,
 }
 
--- a/crates/testbed/src/fault_mode.rs
+++ b/crates/testbed/src/fault_mode.rs
@@ -1,30 +1,30 @@
-//! The faults that a scenario switches on at a stand-in server.
+//! The faults that a scenario switches on at a simulated server.
 use std::time::Duration;
 
-/// Faults of the messages that a server sends on its own.
+/// Faults of the messages that a server sends without a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResponseFault {
-    /// Longest extra delay. Each message draws a part of it, so some overtake others.
+    /// Maximum extra delay. Each message draws its own delay up to this, so messages can overtake each other.
     pub late: Duration,
-    /// Part of the messages that are lost.
+    /// Fraction of the messages that are lost.
     pub lost: f64,
-    /// Part of the messages that arrive twice.
+    /// Fraction of the messages that arrive twice.
     pub duplicated: f64,
 }
 
-/// The faults of a server.
+/// The active faults of a server. The default is a server without faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Mode {
-    /// Accepts set-ups and answers nothing.
+    /// Whether the server accepts set-ups but never answers. Paid set-ups are billed nevertheless, and media stops.
     pub hangs: bool,
-    /// Neither receives nor sends.
+    /// Whether the server neither receives nor sends.
     pub vanished: bool,
-    /// Part of the set-ups that fail at once.
+    /// Fraction of the set-ups that are answered with an immediate error.
     pub errors: f64,
-    /// Part of the set-ups that are billed and whose connection is then reset.
+    /// Fraction of the set-ups whose connection is reset after a paid one was billed.
     pub bills_and_resets: f64,
-    /// Sends responses one byte a second.
+    /// Whether the server sends its responses one byte a second.
     pub trickles: bool,
-    /// Faults of the messages that it sends on its own.
+    /// Faults of the messages that the server sends without a request.
     pub response_fault: ResponseFault,
 }
--- a/crates/testbed/src/host_faults.rs
+++ b/crates/testbed/src/host_faults.rs
@@ -1,4 +1,4 @@
-//! Power losses: the disks and boot identifiers of the fronts' hosts, and servers that restart.
+//! Simulates power losses: the disks and boot identifiers of the fronts' hosts, and the restart of servers.
 use crate::list_service::{entry, ListService};
 use crate::server::Fleet;
 use crate::udp_proxy::write_key;
@@ -12,31 +12,31 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Step of the sum over the servers' slow start, nanoseconds.
-const WARM_UP_STEP: u64 = 10_000_000;
-/// Steps of that sum at most.
-const WARM_UP_STEPS: u64 = 60_000;
+/// Length of the steps in which the servers' slow start is summed up, nanoseconds.
+const WARM_UP_STEP_NANOSECONDS: u64 = 10_000_000;
+/// Maximum number of these steps.
+const MAX_WARM_UP_STEPS: u64 = 60_000;
 
-/// What fronts persist over a power loss, where a case has one.
+/// What fronts persist over a power loss. It has no effect on cases without power losses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Memory {
-    /// Set-ups in progress, reconciled with the servers; service recovers in order.
+    /// Fronts persist set-ups in progress, reconcile them with the servers after the power loss, and recover service in stages.
     Preserved,
-    /// Nothing; the endpoint list is taken as it is.
+    /// Fronts persist nothing and use the endpoint list as it is.
     Forgotten,
-    /// Set-ups in progress, without reconciliation: service recovers at once, and open set-ups count as run.
+    /// Fronts persist set-ups in progress but don't reconcile them. Service recovers at once, and open set-ups count as run.
     Trusted,
 }
 
-/// The hosts of a case with power losses. Fronts are numbered from 0.
+/// The fronts' hosts in a case with power losses. Fronts are numbered from 0.
 pub(crate) struct Hosts {
     dir: PathBuf,
     key: PathBuf,
     memory: Memory,
     seed: u64,
-    /// Number of boots of each front's host.
+    /// Number of restarts of each front's host.
     boots: Vec<u32>,
-    /// Number of servers that lost power.
+    /// Number of servers that have lost power.
     restarted_servers: usize,
 }
 
@@ -51,7 +51,8 @@
             restarted_servers: 0,
         };
         for front in 0..fronts {
-            // Why: with the same seed players use the same idempotency keys, which a store of an earlier run has spent.
+            // With the same seed players use the same idempotency keys as in an earlier run, and a store of that run would have
+            // them as used.
             remove_if_exists(&hosts.store(front))?;
             remove_if_exists(&hosts.copy_dir(front))?;
             hosts.write_boot_file(front)?;
@@ -59,27 +60,30 @@
         Ok(hosts)
     }
 
+    /// Path of the file with the boot identifier of a front's host.
     fn boot_file(&self, front: usize) -> PathBuf {
         self.dir.join(format!("boot-{front}"))
     }
 
-    /// Writes the boot identifier by which a front finds that its host restarted.
+    /// Writes the boot identifier from which a front learns that its host has restarted.
     fn write_boot_file(&self, front: usize) -> io::Result<()> {
         let boot = self.boots[front];
         fs::write(self.boot_file(front), format!("{boot} of host {front}"))
     }
 
+    /// Directory of a front's store.
     fn store(&self, front: usize) -> PathBuf {
         self.dir.join(format!("store-{front}"))
     }
 
+    /// Directory of the copy of a front's store.
     fn copy_dir(&self, front: usize) -> PathBuf {
         self.dir.join(format!("store-{front}-copied"))
     }
 
-    /// The store's block of a front's configuration.
+    /// The block of a front's configuration about its store; empty where the front persists nothing.
     pub(crate) fn store_block(&self, front: usize) -> String {
-        let steps = match self.memory {
+        let stage_settings = match self.memory {
             Memory::Forgotten => return String::new(),
             Memory::Preserved => "",
             Memory::Trusted => "settle: \"1us\" calm: \"1us\" paid_first: \"1us\"",
@@ -88,11 +92,11 @@
         let key = &self.key;
         let boot = self.boot_file(front);
         format!(
-            "store {{ name: \"front-{front}\" dir: {dir:?} key_file: {key:?} boot_file: {boot:?} {steps} }}\n"
+            "store {{ name: \"front-{front}\" dir: {dir:?} key_file: {key:?} boot_file: {boot:?} {stage_settings} }}\n"
         )
     }
 
-    /// The power of these fronts' hosts fails.
+    /// Changes the boot identifiers of these fronts' hosts for a power loss. The processes are killed by the caller.
     pub(crate) fn power_off_fronts(&mut self, fronts: &[usize]) -> io::Result<()> {
         for front in fronts.iter().copied() {
             self.boots[front] += 1;
@@ -101,7 +105,7 @@
         Ok(())
     }
 
-    /// The power of these servers fails.
+    /// Crashes these servers for a power loss.
     pub(crate) fn power_off_servers(&mut self, fleet: &Fleet, servers: &[usize]) {
         for server in servers {
             fleet.crash(*server as u32);
@@ -109,7 +113,7 @@
         self.restarted_servers += servers.len();
     }
 
-    /// The servers start, in slow start, and the list service has them after its delay.
+    /// Restarts these servers in slow start. The list service sends them to fronts after its delay.
     pub(crate) fn power_on_servers(
         &self,
         fleet: &Arc<Fleet>,
@@ -128,7 +132,7 @@
         Ok(())
     }
 
-    /// Copies the fronts' disks as they are now.
+    /// Copies the fronts' disks, for a later change to [`DiskState::Outdated`].
     pub(crate) fn copy_disks(&self, fronts: &[usize]) -> io::Result<()> {
         for front in fronts.iter().copied() {
             replace_dir(&self.store(front), &self.copy_dir(front))?;
@@ -136,12 +140,12 @@
         Ok(())
     }
 
-    /// Changes the fronts' disks to what is found after the power loss.
+    /// Changes the fronts' disks to the state in which they are found after the power loss.
     pub(crate) fn set_disks(&self, fronts: &[usize], state: DiskState) -> io::Result<()> {
         for front in fronts.iter().copied() {
             let store = self.store(front);
             if !store.exists() {
-                continue; // The front persists nothing.
+                continue; // The front persists nothing, so it has no disk to change.
             }
             match state {
                 DiskState::Intact => {}
@@ -153,7 +157,7 @@
         Ok(())
     }
 
-    /// Cuts the file of a front's store at a random length.
+    /// Truncates the file of a front's store to a random length.
     fn truncate_store(&self, front: usize) -> io::Result<()> {
         let file = self.store(front).join("front.redb");
         let bytes = fs::read(&file)?;
@@ -162,8 +166,10 @@
         fs::write(&file, &bytes[..length])
     }
 
-    /// How long after their restart the servers that lost power could have accepted so many sessions, each server at every
-    /// moment just below its overload: a lower bound for any front. Servers that kept power accept all at once.
+    /// Minimum time, in nanoseconds, in which the servers that lost power can accept this number of sessions after their restart.
+    /// It is a lower bound for any front, because it assumes that each server accepts set-ups at the highest rate that does not
+    /// overload it. Servers that kept power are assumed to accept their sessions at once. `None` where the sum exceeds its
+    /// maximum number of steps.
     pub(crate) fn min_warm_up_time(&self, config: &Config, sessions: f64) -> Option<u64> {
         let settings = &config.settings;
         let duration = settings.slow_start_duration as f64;
@@ -171,16 +177,16 @@
         let full_rate = f64::from(*settings.stream_capacity.first()?) / duration;
         let highest_rate = full_rate * settings.overload_multiple;
         let mut accepted = 0.0;
-        for step in 0..WARM_UP_STEPS {
+        for step in 0..MAX_WARM_UP_STEPS {
             if accepted >= sessions {
-                return Some(step * WARM_UP_STEP);
+                return Some(step * WARM_UP_STEP_NANOSECONDS);
             }
-            let age = (step * WARM_UP_STEP) as f64 / duration;
-            let warm_up_progress = (min_factor + (1.0 - min_factor) * age).min(1.0);
+            let elapsed_fraction = (step * WARM_UP_STEP_NANOSECONDS) as f64 / duration;
+            let warm_up_progress = (min_factor + (1.0 - min_factor) * elapsed_fraction).min(1.0);
             accepted += self.restarted_servers as f64
                 * highest_rate
                 * warm_up_progress
-                * WARM_UP_STEP as f64;
+                * WARM_UP_STEP_NANOSECONDS as f64;
         }
         None
     }
--- a/crates/testbed/src/list_service.rs
+++ b/crates/testbed/src/list_service.rs
@@ -1,4 +1,4 @@
-//! Stand-in list service: it has the list of the servers that run, and sends changes to every front with a delay.
+//! A simulated list service. It has the list of the running servers and sends changes to every front with a delay.
 use crate::record::{Recorder, Seen};
 use crate::server::Fleet;
 use crankpaddle_config::Config;
@@ -18,13 +18,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Interval at which due changes are sent.
+/// Interval at which the service checks which changes are due.
 const TICK: Duration = Duration::from_millis(20);
 /// Time between two heartbeats of a stream.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest request body, bytes.
+/// Maximum size of a request body, bytes.
 const MAX_BODY: u64 = 1024;
-/// Bytes that a stream may have unsent.
+/// Maximum number of unsent bytes of a stream.
 const STREAM_BUFFER: usize = 1 << 20;
 const STREAM_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
@@ -33,38 +33,39 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A change that fronts receive later.
+/// A change that has not been sent to fronts yet.
 struct DelayedChange {
     due: Time,
     entry: EndpointEntry,
 }
 
-/// A front's stream of events.
+/// A front that receives changes over its event stream.
 struct Subscriber {
     front: String,
     stream: Arc<WriteBuffer>,
 }
 
 #[derive(Default)]
-struct State {
-    /// The list as fronts have it by now.
+struct ListState {
+    /// The list as fronts have received it, without the delayed changes.
     list: EndpointListBody,
     delayed: VecDeque<DelayedChange>,
     subscribers: Vec<Subscriber>,
 }
 
-/// The service.
+/// The simulated list service. Fronts subscribe to it over HTTP.
 pub struct ListService {
-    /// Where it listens.
+    /// Address at which the service listens.
     pub address: SocketAddr,
     recorder: Recorder,
-    state: Mutex<State>,
+    state: Mutex<ListState>,
     /// Delay of changes, nanoseconds.
     delay: AtomicU64,
+    /// Whether the service is unreachable.
     gone: AtomicBool,
 }
 
-/// The list's entry for a stand-in server; `started_ms` is 0 where it started long ago.
+/// The list's entry for a simulated server. `started_ms` is 0 for a server that was not restarted.
 #[must_use]
 pub fn entry(
     config: &Config,
@@ -88,10 +89,10 @@
 }
 
 impl ListService {
-    /// Starts with all servers of a fleet as ready; changes are sent with this delay.
+    /// Starts the service with all servers of a fleet as ready. Changes are sent after `delay`.
     ///
     /// # Errors
-    /// No port can be listened on.
+    /// The service can't listen on a port.
     pub fn start_for(fleet: &Fleet, delay: Duration) -> io::Result<Arc<ListService>> {
         let servers = fleet.servers.iter();
         let entries = servers
@@ -108,19 +109,19 @@
         ListService::start(entries, delay, fleet.recorder.clone())
     }
 
-    /// Starts with a list that every front receives at once; changes are sent with this delay.
+    /// Starts the service with a list that every front receives at once. Changes are sent after `delay`.
     ///
     /// # Errors
-    /// No port can be listened on.
+    /// The service can't listen on a port.
     pub fn start(
         servers: Vec<EndpointEntry>,
         delay: Duration,
         recorder: Recorder,
     ) -> io::Result<Arc<ListService>> {
         let listener = listen(([127, 0, 0, 1], 0).into())?;
-        let state = State {
+        let state = ListState {
             list: EndpointListBody { serial: 1, servers },
-            ..State::default()
+            ..ListState::default()
         };
         let service = Arc::new(ListService {
             address: listener.local_addr()?,
@@ -138,12 +139,13 @@
         Ok(service)
     }
 
-    /// Sets the delay of changes from now on.
+    /// Sets the delay of all changes that are made from now on.
     pub fn set_delay(&self, delay: Duration) {
         self.delay.store(nanoseconds(delay), Ordering::Release);
     }
 
-    /// Makes the service unreachable (`true`): nobody is answered and streams break. Or reachable again.
+    /// Makes the service unreachable or reachable again. While it is unreachable, it answers no requests and its streams are
+    /// closed.
     pub fn set_gone(&self, gone: bool) {
         self.gone.store(gone, Ordering::Release);
         if !gone {
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Changes an entry; fronts receive it after the delay.
+    /// Changes an entry of the list. Fronts receive the change after the delay.
     pub fn change(&self, entry: EndpointEntry) {
         let delay = Duration::from_nanos(self.delay.load(Ordering::Acquire));
         let due = clock::now() + delay;
@@ -176,6 +178,7 @@
         }
     }
 
+    /// Sends the changes that are due to all subscribers, and a heartbeat where that is due.
     fn notify_subscribers(&self, now: Time, heartbeat_due: bool) {
         let mut state = lock(&self.state);
         let due = state.take_due(now);
@@ -211,7 +214,7 @@
         });
     }
 
-    /// Serves a front's stream of events until the front closes it.
+    /// Serves a front's event stream until the front closes it.
     fn serve(&self, socket: &Arc<Socket>) {
         let mut exchange = HttpExchange::new(socket.clone());
         let Ok((request, _)) = exchange.request(MAX_BODY, None) else {
@@ -228,7 +231,7 @@
         socket.close(CloseReason::ReadEnded);
     }
 
-    /// Sends the list and registers the front for changes, in one step: no change is missed in between.
+    /// Sends the list and registers the front for changes, under one lock so that no change is missed in between.
     fn subscribe(&self, front: String, stream: &Arc<WriteBuffer>) {
         let mut state = lock(&self.state);
         let full_list = list::write(EndpointListKind::Full, &state.list);
@@ -241,8 +244,8 @@
     }
 }
 
-impl State {
-    /// Takes out the changes that are due, in the order in which they were made.
+impl ListState {
+    /// Removes and returns the changes that are due, in the order in which they were made.
     fn take_due(&mut self, now: Time) -> Vec<EndpointEntry> {
         let mut due = Vec::new();
         for change in std::mem::take(&mut self.delayed) {
@@ -260,7 +263,7 @@
             .retain(|subscriber| !subscriber.stream.socket().is_closed());
     }
 
-    /// Applies changes to the list.
+    /// Applies changes to the list and increments its serial number.
     fn apply(&mut self, changes: &[EndpointEntry]) {
         self.list.serial += 1;
         for change in changes {
--- a/crates/testbed/src/membership_poll.rs
+++ b/crates/testbed/src/membership_poll.rs
@@ -1,4 +1,4 @@
-//! Polls what fronts report of each other at `GET /members`, the only source about members that a case uses.
+//! Polls the fronts' reports about each other at `GET /members`. A fleet case knows of members only from these reports.
 use crate::player::FrontAddress;
 use crate::udp_proxy::PeerNetwork;
 use crankpaddle_api::describe::{Members, OwnStanding, PeerState};
@@ -13,48 +13,52 @@
 
 /// Time between two polls of a front.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A front that does not answer in this time is polled again.
+/// Timeout of a poll. A front that does not answer in time is polled again.
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What one incarnation of a front reported.
+/// What the current incarnation of a front has reported.
 #[derive(Default)]
-struct View {
+struct FrontReport {
     /// `None` where the front does not run.
     address: Option<SocketAddr>,
+    /// Number of changes of the address, to recognize the answer of an earlier incarnation.
     incarnation: u64,
+    /// The state that the front reports of each front; `None` where it has reported none.
     states: Vec<Option<MemberState>>,
     local_health: Option<LocalHealth>,
-    /// Number of the last change that was received.
+    /// Number of the last state change that was received.
     last_change: u64,
 }
 
 #[derive(Default)]
-struct State {
-    views: Vec<View>,
+struct PollState {
+    /// The reports; the index is the front's number.
+    reports: Vec<FrontReport>,
     state_changes: Vec<MemberTransition>,
+    /// Descriptions of invalid reports and of state changes that were not received.
     missed: Vec<String>,
 }
 
-/// What all fronts report, updated by a thread for each front. Copies share it.
+/// The reports of all fronts, updated by a thread for each front. Clones share the same reports.
 #[derive(Clone)]
 pub struct MembershipPoll {
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<PollState>>,
     over: Arc<AtomicBool>,
     network: PeerNetwork,
 }
 
 impl MembershipPoll {
-    /// Starts to poll; no front runs yet. The addresses at which fronts are reached by their peers are passed to the network
-    /// between the fronts.
+    /// Starts to poll. Fronts are polled once their address is set. The address that each front reports for its peers is passed
+    /// to `network`.
     #[must_use]
     pub fn start(fronts: usize, network: &PeerNetwork) -> MembershipPoll {
-        let new_view = |_| View {
+        let new_report = |_| FrontReport {
             states: vec![None; fronts],
-            ..View::default()
+            ..FrontReport::default()
         };
-        let state = State {
-            views: (0..fronts).map(new_view).collect(),
-            ..State::default()
+        let state = PollState {
+            reports: (0..fronts).map(new_report).collect(),
+            ..PollState::default()
         };
         let polls = MembershipPoll {
             state: Arc::new(Mutex::new(state)),
@@ -73,22 +77,23 @@
         polls
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, PollState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the address of a front's new incarnation, which has reported nothing yet; `None` where it does not run any more.
+    /// Sets the address of a front's new incarnation, which has reported nothing yet. `None` where the front does not run any
+    /// more.
     pub fn set_address(&self, front: usize, address: Option<SocketAddr>) {
         let mut state = self.lock();
-        let view = &mut state.views[front];
-        view.address = address;
-        view.local_health = None;
-        view.last_change = 0;
-        view.incarnation += 1;
-        view.states.fill(None);
+        let report = &mut state.reports[front];
+        report.address = address;
+        report.local_health = None;
+        report.last_change = 0;
+        report.incarnation += 1;
+        report.states.fill(None);
     }
 
-    /// Ends the polling.
+    /// Ends the polling of all fronts.
     pub fn end(&self) {
         self.over.store(true, Ordering::Release);
     }
@@ -96,106 +101,109 @@
     fn poll(&self, front: usize) {
         let state = self.lock();
         let (address, incarnation) = {
-            let view = &state.views[front];
-            (view.address, view.incarnation)
+            let report = &state.reports[front];
+            (report.address, report.incarnation)
         };
         drop(state);
         let Some(address) = address else { return };
-        // A front that is stopped does not answer; it is polled again.
+        // A front whose process is stopped does not answer. It is polled again later.
         let Ok(body) = crankpaddle_traffic_report::get(&address, "/members", POLL_TIMEOUT) else {
             return;
         };
         let now = clock::now();
         let Ok(members) = serde_json::from_slice::<Members>(&body) else {
-            let missed = format!("front {front} told of no members");
-            self.lock().missed.push(missed);
+            let invalid = format!("front {front}: invalid answer to GET /members");
+            self.lock().missed.push(invalid);
             return;
         };
         if let Ok(peer_address) = members.address.parse() {
             self.network.set_front_address(front, peer_address);
         }
         let mut state = self.lock();
-        if state.views[front].incarnation == incarnation {
+        if state.reports[front].incarnation == incarnation {
             state.update(front, &members, now);
         }
     }
 
-    /// The fronts that run.
+    /// Numbers and addresses of the fronts that run.
     #[must_use]
     pub fn running(&self) -> Vec<FrontAddress> {
         let state = self.lock();
-        let views = state.views.iter().enumerate();
-        views
-            .filter_map(|(number, view)| {
+        let reports = state.reports.iter().enumerate();
+        reports
+            .filter_map(|(number, report)| {
                 Some(FrontAddress {
                     number: number as u32,
-                    address: view.address?,
+                    address: report.address?,
                 })
             })
             .collect()
     }
 
-    /// The state that one front has of another.
+    /// The state that front `at` reports of front `of`; `None` where it has reported none since its start.
     #[must_use]
     pub fn state(&self, at: usize, of: usize) -> Option<MemberState> {
-        self.lock().views[at].states[of]
+        self.lock().reports[at].states[of]
     }
 
-    /// The health that a front reports of itself.
+    /// The health that a front reports of itself; `None` where it has reported none since its start.
     #[must_use]
     pub fn local_health(&self, at: usize) -> Option<LocalHealth> {
-        self.lock().views[at].local_health
+        self.lock().reports[at].local_health
     }
 
-    /// Changes of state since a time, in the order of their times.
+    /// The state changes since `from`, sorted by time.
     #[must_use]
     pub fn state_changes(&self, from: Time) -> Vec<MemberTransition> {
         let state = self.lock();
-        let since = state.state_changes.iter().filter(|turn| turn.at >= from);
+        let since = state
+            .state_changes
+            .iter()
+            .filter(|change| change.at >= from);
         let mut state_changes: Vec<MemberTransition> = since.cloned().collect();
-        state_changes.sort_by_key(|turn| turn.at);
+        state_changes.sort_by_key(|change| change.at);
         state_changes
     }
 
-    /// Descriptions of the reports and changes that were missed.
+    /// Descriptions of invalid reports and of state changes that were not received.
     #[must_use]
     pub fn missed(&self) -> Vec<String> {
         self.lock().missed.clone()
     }
 }
 
-impl State {
-    /// Takes over a front's report, which arrived at `now`.
+impl PollState {
+    /// Updates the state with a front's report that arrived at `now`. Adds the state changes that were not received before.
     fn update(&mut self, front: usize, members: &Members, now: Time) {
-        let view = &mut self.views[front];
-        view.local_health = Some(local_health(members.standing));
+        let report = &mut self.reports[front];
+        report.local_health = Some(local_health(members.standing));
         for peer in &members.members {
-            if let Some(known) = front_number(&peer.name).and_then(|of| view.states.get_mut(of)) {
+            if let Some(known) = front_number(&peer.name).and_then(|of| report.states.get_mut(of)) {
                 *known = Some(member_state(peer.state));
             }
         }
-        let last_received = view.last_change;
-        for turn in &members.turns {
-            if turn.number <= last_received {
+        let last_received = report.last_change;
+        for change in &members.turns {
+            if change.number <= last_received {
                 continue;
             }
-            let expected = view.last_change + 1;
-            if turn.number != expected {
-                let last_missed = turn.number - 1;
+            let expected = report.last_change + 1;
+            if change.number != expected {
+                let last_missed = change.number - 1;
                 self.missed.push(format!(
                     "front {front}: changes {expected} to {last_missed} were missed"
                 ));
             }
-            view.last_change = turn.number;
-            let Some(of) = front_number(&turn.name) else {
+            report.last_change = change.number;
+            let Some(of) = front_number(&change.name) else {
                 continue;
             };
             self.state_changes.push(MemberTransition {
-                at: now - Duration::from_millis(turn.ago_ms),
+                at: now - Duration::from_millis(change.ago_ms),
                 viewer: front,
                 viewed: of,
-                state: member_state(turn.state),
-                restarted: turn.restarted,
+                state: member_state(change.state),
+                restarted: change.restarted,
             });
         }
     }
--- a/crates/testbed/src/server/mod.rs
+++ b/crates/testbed/src/server/mod.rs
@@ -1,7 +1,8 @@
-//! Stand-in media servers: all in one process, each on a port of its own.
+//! Simulated media servers. All run in this process, each on a port of its own.
 //!
-//! - `fleet`: the servers together, their restarts and faults;
-//! - `session`, `sessions`: the state of a session and the requests about it;
+//! - `fleet`: the fleet of servers, with restarts and faults;
+//! - `session`: the state of a session;
+//! - `sessions`: inventory, change of rung and tear-down;
 //! - `set_up`: the set-up of a session;
 //! - `streams`: media segments and event streams.
 mod fleet;
@@ -20,61 +21,66 @@
 pub use fleet::{Fleet, Layout};
 use may::net::TcpListener;
 use serde::de::DeserializeOwned;
-use session::Session;
+use session::SimulatedSession;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 use std::time::Duration;
 
-/// Longest request body, bytes.
+/// Maximum size of a request body, bytes.
 const MAX_BODY: u64 = 64 * 1024;
-/// How often a vanished server checks whether it is reachable again.
+/// Interval at which a vanished server checks whether it is reachable again.
 const VANISHED_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between two bytes of a server that trickles.
+/// Pause after each byte of a server that trickles.
 const TRICKLE_INTERVAL: Duration = Duration::from_secs(1);
 
+/// Locks a mutex, also after a thread has panicked while holding it.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One server.
-pub struct Server {
-    /// Its number.
+/// One simulated server. It keeps its address over its restarts.
+pub struct SimulatedServer {
+    /// Number of the server.
     pub id: u32,
-    /// Where it listens; the same over its restarts.
+    /// Address at which the server listens.
     pub address: SocketAddr,
-    /// Set when the present listener is to close.
+    /// Set to close the current listener.
     stop_listening: Mutex<Arc<AtomicBool>>,
+    /// Number of the current incarnation, from 1.
     incarnation: AtomicU64,
-    /// Whether its process runs.
+    /// Whether the simulated process runs.
     pub(crate) up: AtomicBool,
+    /// Connections of the current incarnation, to close them when it stops.
     sockets: Mutex<Vec<Weak<Socket>>>,
-    /// Event streams by the name of their front.
+    /// Open event streams by the name of the front.
     pub(crate) event_streams: Mutex<HashMap<String, Arc<WriteBuffer>>>,
     /// Sessions by name.
-    pub(crate) sessions: Mutex<BTreeMap<String, Session>>,
+    pub(crate) sessions: Mutex<BTreeMap<String, SimulatedSession>>,
     set_up_log: Mutex<SetUpLog>,
-    /// When its process started, nanoseconds; 0: long ago.
+    /// When the process was restarted, nanoseconds; 0 where it was never restarted.
     started_at: AtomicU64,
-    /// Names that were torn down without a session: a later set-up fails.
+    /// Names of sessions that were torn down before their set-up arrived. A later set-up with such a name fails.
     ended_early: Mutex<HashSet<String>>,
-    /// Names that were torn down without having been billed: they never ran and never will.
+    /// Names of sessions that were torn down before they were billed. They never ran and never will.
     fenced: Mutex<HashSet<String>>,
     mode: Mutex<Mode>,
 }
 
-/// What becomes of a connection after a request.
-enum Served {
+/// What is left to do on a connection for a request.
+enum RequestResult {
+    /// The response must be sent.
     Response(Vec<u8>),
     /// The response was already sent.
     Sent,
+    /// The connection must be closed without a further response.
     ConnectionOver,
 }
 
-impl Server {
-    fn new(id: u32, address: SocketAddr) -> Server {
-        Server {
+impl SimulatedServer {
+    fn new(id: u32, address: SocketAddr) -> SimulatedServer {
+        SimulatedServer {
             id,
             address,
             stop_listening: Mutex::default(),
@@ -91,24 +97,26 @@
         }
     }
 
-    /// Number of fronts with an open event stream.
+    /// Number of fronts that have an event stream open.
     pub fn listeners(&self) -> usize {
         lock(&self.event_streams).len()
     }
 
+    /// The faults that are active now.
     pub(crate) fn mode(&self) -> Mode {
         *lock(&self.mode)
     }
 
-    /// Numbers the incarnation that starts now.
+    /// Notes that a new incarnation starts now.
     fn begin_incarnation(&self) {
         let incarnation = self.incarnation.fetch_add(1, Ordering::AcqRel) + 1;
-        lock(&self.set_up_log).started(incarnation);
+        lock(&self.set_up_log).log_start(incarnation);
         self.started_at
             .store(clock::now().as_nanos(), Ordering::Release);
     }
 
-    fn listen(self: &Arc<Server>, fleet: &Arc<Fleet>, listener: TcpListener) {
+    /// Accepts connections until the process stops.
+    fn listen(self: &Arc<SimulatedServer>, fleet: &Arc<Fleet>, listener: TcpListener) {
         let stop = Arc::new(AtomicBool::new(false));
         *lock(&self.stop_listening) = stop.clone();
         self.up.store(true, Ordering::Release);
@@ -121,13 +129,17 @@
         });
     }
 
-    fn go_down(&self, fleet: &Fleet) {
+    /// Simulates the end of the process: closes its connections and port, and ends its sessions.
+    fn stop(&self, fleet: &Fleet) {
         if !self.up.swap(false, Ordering::AcqRel) {
             return;
         }
         lock(&self.stop_listening).store(true, Ordering::Release);
-        let _ = std::net::TcpStream::connect(self.address); // Wakes the listener, which then closes.
-        for socket in lock(&self.sockets).drain(..).filter_map(|s| s.upgrade()) {
+        let _ = std::net::TcpStream::connect(self.address); // This wakes the listener, which then closes.
+        for socket in lock(&self.sockets)
+            .drain(..)
+            .filter_map(|socket| socket.upgrade())
+        {
             socket.close(CloseReason::Shutdown);
         }
         lock(&self.event_streams).clear();
@@ -138,7 +150,7 @@
         }
     }
 
-    /// Ends a session; the media bytes that were sent for it, `None` where there is none of this name.
+    /// Ends a session. Returns the number of media bytes that were sent for it; `None` where no session has this name.
     fn end(&self, fleet: &Fleet, name: &str) -> Option<u64> {
         let session = lock(&self.sessions).remove(name)?;
         lock(&fleet.model).end(self.id as usize, session.stream);
@@ -151,7 +163,7 @@
         Some(session.bytes)
     }
 
-    /// Sends the end of a session to its front, where that has an event stream open.
+    /// Notifies a session's front of its end, if the front has an event stream open.
     fn notify_session_over(&self, name: &str, finished: bool) {
         let front_and_bytes = lock(&self.sessions)
             .get(name)
@@ -171,7 +183,7 @@
     }
 
     /// Serves the requests of a connection until it ends.
-    fn serve(self: &Arc<Server>, fleet: &Arc<Fleet>, socket: &Arc<Socket>) {
+    fn serve(self: &Arc<SimulatedServer>, fleet: &Arc<Fleet>, socket: &Arc<Socket>) {
         let mut exchange = HttpExchange::new(socket.clone());
         while let Ok((request, body)) = exchange.request(MAX_BODY, None) {
             while self.mode().vanished {
@@ -181,13 +193,13 @@
                 sleep(VANISHED_CHECK_INTERVAL);
             }
             if socket.is_closed() {
-                return; // The process stopped while it was unreachable, with this request unread.
+                return; // The process stopped while it was unreachable, so the request counts as never read.
             }
             let (path, query) = request.path();
             let response = match self.answer(fleet, socket, &request.method, path, query, &body) {
-                Served::Response(response) => response,
-                Served::Sent => continue,
-                Served::ConnectionOver => return,
+                RequestResult::Response(response) => response,
+                RequestResult::Sent => continue,
+                RequestResult::ConnectionOver => return,
             };
             let sent = if self.mode().trickles {
                 trickle(socket, &response)
@@ -200,40 +212,45 @@
         }
     }
 
+    /// Handles a request.
     fn answer(
-        self: &Arc<Server>,
+        self: &Arc<SimulatedServer>,
         fleet: &Arc<Fleet>,
         socket: &Arc<Socket>,
         method: &str,
         path: &str,
         query: &str,
         body: &[u8],
-    ) -> Served {
+    ) -> RequestResult {
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match (method, &parts[..]) {
             ("PUT", ["sessions", name]) => self
                 .set_up(fleet, socket, name, body)
-                .map_or(Served::ConnectionOver, Served::Response),
-            ("PATCH", ["sessions", name]) => Served::Response(self.set_rung(fleet, name, body)),
-            ("DELETE", ["sessions", name]) => Served::Response(self.tear_down(fleet, name)),
+                .map_or(RequestResult::ConnectionOver, RequestResult::Response),
+            ("PATCH", ["sessions", name]) => {
+                RequestResult::Response(self.set_rung(fleet, name, body))
+            }
+            ("DELETE", ["sessions", name]) => RequestResult::Response(self.tear_down(fleet, name)),
             ("GET", ["sessions", name, "media"]) => {
-                if self.media(fleet, socket, name) {
-                    Served::Sent
+                if self.serve_media(fleet, socket, name) {
+                    RequestResult::Sent
                 } else {
-                    Served::ConnectionOver
+                    RequestResult::ConnectionOver
                 }
             }
             ("GET", ["events"]) => {
-                self.events(socket, query);
-                Served::ConnectionOver
+                self.serve_events(socket, query);
+                RequestResult::ConnectionOver
             }
-            ("GET", ["sessions"]) => Served::Response(self.inventory(fleet, query)),
-            _ => Served::Response(Problem::new(404, format!("nothing at {path}")).response(&[])),
+            ("GET", ["sessions"]) => RequestResult::Response(self.inventory(fleet, query)),
+            _ => RequestResult::Response(
+                Problem::new(404, format!("nothing at {path}")).response(&[]),
+            ),
         }
     }
 }
 
-/// Writes a byte a second; false once the other side has closed.
+/// Writes one byte a second. Returns false where the other side closes the connection.
 fn trickle(socket: &Socket, bytes: &[u8]) -> bool {
     for byte in bytes {
         if socket.write_all(&[*byte]).is_err() {
@@ -247,7 +264,7 @@
     true
 }
 
-/// Reads a JSON body; the response of the failure where it is none.
+/// Parses a JSON body. Fails with the response to send where the body is invalid.
 fn read_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Vec<u8>> {
-    serde_json::from_slice(body).map_err(|e| Problem::new(400, e.to_string()).response(&[]))
+    serde_json::from_slice(body).map_err(|error| Problem::new(400, error.to_string()).response(&[]))
 }
--- a/crates/testbed/src/server/sessions.rs
+++ b/crates/testbed/src/server/sessions.rs
@@ -1,6 +1,6 @@
-//! Requests about the sessions of a stand-in server: inventory, change of rung, tear-down.
-use super::session::Session;
-use super::{lock, Fleet, Server};
+//! Requests about the sessions of a simulated server: inventory, change of rung and tear-down.
+use super::session::SimulatedSession;
+use super::{lock, Fleet, SimulatedServer};
 use crate::record::Seen;
 use crankpaddle_http::head;
 use crankpaddle_http::problem::Problem;
@@ -12,8 +12,8 @@
 
 const JSON: [(&str, &str); 1] = [("content-type", "application/json")];
 
-impl Server {
-    /// The response with all sessions of one front.
+impl SimulatedServer {
+    /// The response with the inventory of one front's sessions.
     pub(super) fn inventory(&self, fleet: &Fleet, query: &str) -> Vec<u8> {
         let front = query.strip_prefix("front=").unwrap_or("");
         let sessions = lock(&self.sessions);
@@ -21,7 +21,8 @@
             fleet.recorder.see(Seen::Disowned { name: name.clone() });
         }
         let of_front = |plays: bool| {
-            let belongs = move |session: &Session| session.front == front && session.plays == plays;
+            let belongs =
+                move |session: &SimulatedSession| session.front == front && session.plays == plays;
             sessions.iter().filter(move |(_, session)| belongs(session))
         };
         let active = of_front(true)
@@ -34,12 +35,13 @@
         head::response(200, &JSON, &body)
     }
 
-    /// Time since the server's process started.
+    /// Time since the server's process was restarted; the time since the start of the clock where it never was.
     pub(super) fn age(&self) -> Duration {
         let started_at = Time(self.started_at.load(Ordering::Acquire));
         clock::now().duration_since(started_at)
     }
 
+    /// Changes the rung of a session and returns the response.
     pub(super) fn set_rung(&self, fleet: &Fleet, name: &str, body: &[u8]) -> Vec<u8> {
         let rung = match super::read_json::<RungBody>(body) {
             Ok(RungBody { rung }) => rung,
@@ -60,12 +62,14 @@
         head::response(204, &[], b"")
     }
 
+    /// Ends a session and returns the response, which states the media bytes sent. If the session was not billed, it will not
+    /// run later either.
     pub(super) fn tear_down(&self, fleet: &Fleet, name: &str) -> Vec<u8> {
-        if !lock(&self.set_up_log).has(name) {
+        if !lock(&self.set_up_log).was_billed(name) {
             lock(&self.fenced).insert(name.to_owned());
         }
         let Some(sent_bytes) = self.end(fleet, name) else {
-            // Why: a set-up under this name that arrives later must not run.
+            // A set-up with this name that arrives later must not run.
             lock(&self.ended_early).insert(name.to_owned());
             return head::response(204, &[], b"");
         };
--- a/crates/testbed/src/server/set_up.rs
+++ b/crates/testbed/src/server/set_up.rs
@@ -1,6 +1,6 @@
-//! The set-up of a session at a stand-in server, with the faults that a scenario switches on.
-use super::session::Session;
-use super::{lock, Fleet, Server};
+//! The set-up of a session at a simulated server, with the faults that a scenario switches on.
+use super::session::SimulatedSession;
+use super::{lock, Fleet, SimulatedServer};
 use crate::fault_mode::Mode;
 use crate::model::SetUpResult;
 use crate::record::{Reply, Seen};
@@ -14,57 +14,58 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a set-up in progress checks whether the front has closed the connection.
+/// Interval at which a set-up in progress checks whether its connection is closed or the process has stopped.
 const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How a set-up ended whose session does not play.
+/// How a set-up ended after which the session does not play.
 enum Unsuccessful {
-    /// With this response.
+    /// The set-up was answered with this response.
     Answered(Vec<u8>),
-    /// Without a response: the connection is over.
+    /// The connection ended without a response.
     Disconnected,
 }
 
 /// A set-up in progress.
 struct SetUp<'a> {
-    server: &'a Arc<Server>,
+    server: &'a Arc<SimulatedServer>,
     fleet: &'a Arc<Fleet>,
     socket: &'a Socket,
+    /// Name of the session.
     name: &'a str,
-    order: SetUpBody,
+    request: SetUpBody,
     /// The server's faults when the set-up arrived.
     mode: Mode,
 }
 
-impl Server {
-    /// Sets a session up; `None` where the connection ends without an answer.
+impl SimulatedServer {
+    /// Sets a session up and returns the response. `None` where the connection ends without a response.
     pub(super) fn set_up(
-        self: &Arc<Server>,
+        self: &Arc<SimulatedServer>,
         fleet: &Arc<Fleet>,
         socket: &Socket,
         name: &str,
         body: &[u8],
     ) -> Option<Vec<u8>> {
-        let order: SetUpBody = match super::read_json(body) {
-            Ok(order) => order,
+        let request: SetUpBody = match super::read_json(body) {
+            Ok(request) => request,
             Err(problem) => return Some(problem),
         };
         fleet.recorder.see(Seen::SetUp {
             name: name.to_owned(),
             server: self.id,
-            front: order.front.clone(),
-            bill: order.bill.clone(),
-            class: order.class.clone(),
-            title: order.title.clone(),
-            rung: order.rung,
-            zone: order.zone.clone(),
+            front: request.front.clone(),
+            bill: request.bill.clone(),
+            class: request.class.clone(),
+            title: request.title.clone(),
+            rung: request.rung,
+            zone: request.zone.clone(),
         });
         let set_up = SetUp {
             server: self,
             fleet,
             socket,
             name,
-            order,
+            request,
             mode: self.mode(),
         };
         match set_up.run() {
@@ -73,22 +74,23 @@
         }
     }
 
-    /// Writes a bill for a session: from now on it counts as run.
-    fn bill(&self, fleet: &Fleet, name: &str, order: &SetUpBody) {
-        lock(&self.set_up_log).ran(name, order);
+    /// Bills a session. From now on its set-up counts as one that ran.
+    fn bill(&self, fleet: &Fleet, name: &str, request: &SetUpBody) {
+        lock(&self.set_up_log).log_billed(name, request);
         fleet.recorder.see(Seen::Billed {
             name: name.to_owned(),
-            bill: order.bill.clone(),
+            bill: request.bill.clone(),
         });
     }
 }
 
 impl SetUp<'_> {
+    /// Runs the set-up and returns the response of a session that plays.
     fn run(&self) -> Result<Vec<u8>, Unsuccessful> {
         let class = self.check_request()?;
         let stream = self.fleet.next_stream.fetch_add(1, Ordering::Relaxed);
         let done_at = self.reserve(stream, class)?;
-        let session = Session::new(stream, class, &self.order);
+        let session = SimulatedSession::new(stream, class, &self.request);
         lock(&self.server.sessions).insert(self.name.to_owned(), session);
         let idempotency = self.fleet.config.settings.classes[class].idempotency;
         let paid = idempotency == crankpaddle::Idempotency::AtMostOnce;
@@ -106,20 +108,22 @@
         });
     }
 
+    /// Records how the set-up ended and returns it with the problem as its response.
     fn answer(&self, reply: Reply, problem: &Problem) -> Unsuccessful {
         self.record_reply(reply);
         Unsuccessful::Answered(problem.response(&[]))
     }
 
+    /// The result of a set-up whose session was torn down meanwhile.
     fn ended_early(&self) -> Unsuccessful {
         let problem = Problem::new(409, "ended before it was set up");
         self.answer(Reply::Left, &problem)
     }
 
-    /// The number of the class, where the name is free and no error is injected.
+    /// Checks class and name, and injects errors. Returns the number of the class.
     fn check_request(&self) -> Result<usize, Unsuccessful> {
         let mut classes = self.fleet.config.classes.iter();
-        let class = classes.position(|class| *class == self.order.class);
+        let class = classes.position(|class| *class == self.request.class);
         let name_used = lock(&self.server.sessions).contains_key(self.name)
             || lock(&self.server.ended_early).remove(self.name);
         let Some(class) = class.filter(|_| !name_used) else {
@@ -133,12 +137,12 @@
         Ok(class)
     }
 
-    /// Reserves capacity; the time at which the work of the set-up is done.
+    /// Reserves capacity and returns the time at which the work of the set-up will be done.
     fn reserve(&self, stream: u64, class: usize) -> Result<Time, Unsuccessful> {
-        let rate = self.fleet.rate(class, self.order.rung);
-        let taken =
+        let rate = self.fleet.rate(class, self.request.rung);
+        let result =
             lock(&self.fleet.model).set_up(self.server.id as usize, stream, rate, clock::now());
-        match taken {
+        match result {
             SetUpResult::DoneAt(time) => Ok(time),
             SetUpResult::Full => {
                 let problem = Problem {
@@ -151,20 +155,21 @@
                 let server = self.server.id;
                 self.fleet.recorder.see(Seen::Fell { server });
                 self.record_reply(Reply::Reset);
-                self.server.go_down(self.fleet);
+                self.server.stop(self.fleet);
                 Err(Unsuccessful::Disconnected)
             }
         }
     }
 
-    /// Waits until the work is done, or for as long as the server hangs; whether the set-up was billed meanwhile.
+    /// Waits until the work is done, and beyond that for as long as the server hangs or is unreachable. Returns whether the
+    /// set-up was billed meanwhile.
     fn work_until(&self, done_at: Time, paid: bool) -> Result<bool, Unsuccessful> {
         let mut billed = false;
         while clock::now() < done_at || self.server.mode().hangs || self.server.mode().vanished {
             if self.mode.hangs && clock::now() >= done_at && !billed && paid {
-                // Why: this is the fault under test, a session that ran although nobody is notified.
+                // This is the fault that a hanging server simulates: the session runs, but no front is notified.
                 billed = true;
-                self.server.bill(self.fleet, self.name, &self.order);
+                self.server.bill(self.fleet, self.name, &self.request);
             }
             if !self.server.up.load(Ordering::Acquire) || !self.socket.is_idle() {
                 let down = !self.server.up.load(Ordering::Acquire);
@@ -177,21 +182,21 @@
         Ok(billed)
     }
 
-    /// Bills the session where `due`. An end that arrived meanwhile is final: the session is not billed any more.
+    /// Bills the session if `due`. A session that was torn down meanwhile is not billed any more.
     fn bill_unless_ended(&self, due: bool) -> Result<(), Unsuccessful> {
-        // Why: the lock keeps an end from arriving between the check and the bill.
+        // The lock is held so that the session can't be torn down between the check and the bill.
         let sessions = lock(&self.server.sessions);
         if !sessions.contains_key(self.name) {
             return Err(self.ended_early());
         }
         if due {
-            self.server.bill(self.fleet, self.name, &self.order);
+            self.server.bill(self.fleet, self.name, &self.request);
         }
         drop(sessions);
         Ok(())
     }
 
-    /// The fault that a session is billed and its connection reset.
+    /// Injects the fault that the connection is reset after the session was billed.
     fn maybe_reset(&self) -> Result<(), Unsuccessful> {
         if self.fleet.draw() >= self.mode.bills_and_resets {
             return Ok(());
@@ -210,7 +215,7 @@
         Ok(())
     }
 
-    /// Whether the session still exists; it plays then.
+    /// Marks the session as playing. Returns whether it still exists.
     fn mark_playing(&self) -> bool {
         let mut sessions = lock(&self.server.sessions);
         let session = sessions.get_mut(self.name);
@@ -220,7 +225,7 @@
         })
     }
 
-    /// The response, with the load of link and uplink.
+    /// The response of a session that plays, with the load of the server's link and uplink.
     fn created(&self) -> Vec<u8> {
         let server = self.server.id as usize;
         let model = lock(&self.fleet.model);
--- a/crates/testbed/src/server/streams.rs
+++ b/crates/testbed/src/server/streams.rs
@@ -1,6 +1,6 @@
-//! Responses that a stand-in server sends for as long as they are read: media segments and event streams.
-use super::session::Session;
-use super::{lock, Fleet, Server};
+//! Responses that a simulated server sends over a longer time: media segments and event streams.
+use super::session::SimulatedSession;
+use super::{lock, Fleet, SimulatedServer};
 use crankpaddle_http::problem::Problem;
 use crankpaddle_net::{clock, sleep, Socket, WriteBuffer};
 use crankpaddle_server_protocol::event_stream::{self, StreamStart};
@@ -10,49 +10,49 @@
 use std::time::Duration;
 
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
-/// Media is sent in this many pieces a second.
+/// Number of pieces in which a second of media is sent.
 const PIECES_PER_SECOND: u64 = 10;
-/// A segment requested this soon after the previous one was due continues its schedule.
+/// A segment that is requested within this time after the last piece of the previous one was due continues its schedule.
 const SCHEDULE_GAP: Duration = Duration::from_millis(100);
-/// Filler of media, the sync byte of a transport stream.
+/// The byte that all media consists of: the sync byte of an MPEG transport stream.
 const MEDIA_BYTE: u8 = 0x47;
-/// Bytes that an event stream may have unsent.
+/// Maximum number of unsent bytes of an event stream.
 const EVENT_BUFFER: usize = 1 << 20;
 const EVENT_STREAM_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
 
-impl Server {
-    /// Answers a request for media; false where the connection is over.
-    pub(super) fn media(&self, fleet: &Fleet, socket: &Socket, name: &str) -> bool {
-        let rate = |session: &Session| {
+impl SimulatedServer {
+    /// Answers a request for a media segment. Returns false where the connection is over.
+    pub(super) fn serve_media(&self, fleet: &Fleet, socket: &Socket, name: &str) -> bool {
+        let rate = |session: &SimulatedSession| {
             session
                 .plays
                 .then(|| fleet.rate(session.class, session.rung))
         };
-        let Some(kb) = lock(&self.sessions).get(name).and_then(rate) else {
+        let Some(rate_kb) = lock(&self.sessions).get(name).and_then(rate) else {
             let not_found = Problem::new(404, "no such session").response(&[]);
             return socket.write_all(&not_found).is_ok();
         };
         let seconds = nanoseconds(fleet.segment) as f64 / NANOSECONDS_PER_SECOND as f64;
-        let size = ((kb * 1000.0 * seconds) as usize).max(1);
+        let size = ((rate_kb * 1000.0 * seconds) as usize).max(1);
         let head =
             format!("HTTP/1.1 200 OK\r\ncontent-type: video/mp4\r\ncontent-length: {size}\r\n\r\n");
         socket.write_all(head.as_bytes()).is_ok() && self.send_segment(fleet, socket, name, size)
     }
 
-    /// Sends a segment at the rate that the links allow; false where session or connection is over.
+    /// Sends a segment at the rate that link and uplink allow. Returns false where session or connection is over.
     fn send_segment(&self, fleet: &Fleet, socket: &Socket, name: &str, size: usize) -> bool {
         let segment = nanoseconds(fleet.segment);
         let count = (segment * PIECES_PER_SECOND / NANOSECONDS_PER_SECOND).max(1) as usize;
         let piece = vec![MEDIA_BYTE; size.div_ceil(count)];
-        let mut left = size;
+        let mut remaining = size;
         let mut due = self.segment_start(name);
-        while left > 0 {
-            // The segment takes longer by as much as the share is short.
+        while remaining > 0 {
+            // Where the sessions get only a share of their rates, the segment takes longer in proportion.
             let share = lock(&fleet.model).share(self.id as usize);
             due += Duration::from_nanos((segment as f64 / count as f64 / share) as u64);
             sleep(due.duration_since(clock::now()));
-            let length = piece.len().min(left);
+            let length = piece.len().min(remaining);
             let silent = self.mode().vanished || self.mode().hangs;
             if !self.count_sent(name, if silent { 0 } else { length as u64 }) {
                 return false;
@@ -63,16 +63,16 @@
             if socket.write_all(&piece[..length]).is_err() {
                 return false;
             }
-            left -= length;
+            remaining -= length;
         }
         true
     }
 
-    /// When the pieces of the next segment are counted from.
+    /// Time from which the schedule of the next segment's pieces is computed.
     fn segment_start(&self, name: &str) -> Time {
         let previous_due = lock(&self.sessions)
             .get(name)
-            .map_or(Time::ZERO, |s| s.media_due);
+            .map_or(Time::ZERO, |session| session.media_due);
         let now = clock::now();
         if now.duration_since(previous_due) < SCHEDULE_GAP {
             previous_due
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Adds to the bytes sent of a session; false where it is over.
+    /// Adds to the number of bytes sent for a session. Returns false where the session is over.
     fn count_sent(&self, name: &str, bytes: u64) -> bool {
         let mut sessions = lock(&self.sessions);
         let Some(session) = sessions.get_mut(name) else {
@@ -92,10 +92,11 @@
     }
 
     /// Serves the event stream of a front until the front closes it.
-    pub(super) fn events(&self, socket: &Arc<Socket>, query: &str) {
+    pub(super) fn serve_events(&self, socket: &Arc<Socket>, query: &str) {
         let front = query.strip_prefix("front=").unwrap_or("").to_owned();
         let outbox = Arc::new(WriteBuffer::new(socket.clone(), EVENT_BUFFER));
-        // Why: the lock keeps a session's end from being missed between the first message and the registration.
+        // The lock is held so that no session can end between the first message and the registration, which would lose the
+        // notification of its end.
         let sessions = lock(&self.sessions);
         let active = sessions
             .iter()
@@ -114,7 +115,10 @@
         drop(sessions);
         outbox.until_closed(); // The front sends nothing more on this connection.
         let mut streams = lock(&self.event_streams);
-        if streams.get(&front).is_some_and(|o| Arc::ptr_eq(o, &outbox)) {
+        if streams
+            .get(&front)
+            .is_some_and(|stream| Arc::ptr_eq(stream, &outbox))
+        {
             streams.remove(&front);
         }
     }
--- a/crates/testbed/src/server_reports.rs
+++ b/crates/testbed/src/server_reports.rs
@@ -1,8 +1,8 @@
-//! What a stand-in server sends to fronts on its own: short delivery, load of its links, counts of bytes and of traffic
-//! between zones. Each message is late as configured, and further delayed, lost or duplicated where a scenario's fault
-//! asks for it.
+//! The messages that a simulated server sends to fronts without a request: short delivery, load of its link and uplink, counts
+//! of bytes, and rates of cross-zone traffic. Each message has the configured delay. A scenario's fault can further delay,
+//! lose or duplicate it.
 use crate::fault_mode::ResponseFault;
-use crate::server::{lock, Fleet, Server};
+use crate::server::{lock, Fleet, SimulatedServer};
 use crankpaddle_front::jitter;
 use crankpaddle_http::sse;
 use crankpaddle_net::{clock, sleep, spawn, Stack, WriteBuffer};
@@ -15,23 +15,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval at which a server checks what it has to send.
+/// Interval at which a server checks which messages it has to send.
 const TICK: Duration = Duration::from_millis(250);
-/// Least time between two reports of short delivery.
+/// Minimum time between two reports of short delivery.
 const SHORT_DELIVERY_INTERVAL: Duration = Duration::from_secs(1);
-/// Delivery is short where sessions get less than this part of their rates.
+/// Delivery is short where sessions get less than this fraction of their rates.
 const SHORT_DELIVERY_SHARE: f64 = 0.98;
 
+/// A message on its way to a front.
 struct DelayedMessage {
     due: Time,
     front: String,
     bytes: Vec<u8>,
 }
 
-/// Messages that were sent but have not arrived yet.
+/// Messages that a server has sent but that have not arrived at their fronts yet.
 #[derive(Default)]
 struct DelayQueue {
     messages: Vec<DelayedMessage>,
+    /// Number of random draws so far, plus an offset that differs from server to server.
     draw_count: u64,
 }
 
@@ -41,6 +43,8 @@
         jitter(self.draw_count)
     }
 
+    /// Sends a message that arrives at `due` unless the fault changes that. The extra delay of a fault is from half of
+    /// `fault.late` to all of it.
     fn send(&mut self, due: Time, fault: ResponseFault, front: &str, bytes: &[u8]) {
         let copies = if self.draw() < fault.lost {
             0
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Takes out what is due, in the order of its times.
+    /// Removes and returns the messages that are due, sorted by time.
     fn take_due(&mut self, now: Time) -> Vec<DelayedMessage> {
         self.messages.sort_by_key(|message| message.due);
         let due_count = self.messages.partition_point(|message| message.due <= now);
@@ -66,7 +70,7 @@
     }
 }
 
-/// Load of a server's links: demand over bandwidth, and the part of their rates that sessions get.
+/// Load of a server's link and uplink as demand over bandwidth, and the fraction of their rates that its sessions get.
 struct LinkLoad {
     link: f64,
     uplink: f64,
@@ -75,25 +79,25 @@
 
 /// Sends the reports of one server.
 struct Reporter {
-    server: Arc<Server>,
+    server: Arc<SimulatedServer>,
     fleet: Arc<Fleet>,
     queue: DelayQueue,
-    /// When short delivery was last reported.
+    /// When short delivery was reported the last time.
     short_delivery_at: Time,
-    /// When link load and traffic were last reported.
+    /// When load and traffic were reported the last time.
     load_at: Time,
 }
 
-impl Server {
-    /// Rates at which it sends to other zones, by zone and class, bytes a second.
+impl SimulatedServer {
+    /// Rates at which the server sends to other zones, by zone and class, bytes a second.
     fn cross_zone_rates(&self, fleet: &Fleet) -> Vec<CrossZoneRate> {
         let own_zone = &fleet.config.zones[fleet.zone(self.id)];
         let mut rates: BTreeMap<(String, usize), f64> = BTreeMap::new();
         for session in lock(&self.sessions).values() {
             if session.plays && !session.zone.is_empty() && session.zone != *own_zone {
-                let kb = fleet.rate(session.class, session.rung);
+                let rate_kb = fleet.rate(session.class, session.rung);
                 let key = (session.zone.clone(), session.class);
-                *rates.entry(key).or_default() += kb * 1000.0;
+                *rates.entry(key).or_default() += rate_kb * 1000.0;
             }
         }
         let named = |((to, class), rate): ((String, usize), f64)| {
@@ -103,20 +107,24 @@
         rates.into_iter().map(named).collect()
     }
 
-    /// Media bytes sent, by name of the front's sessions.
+    /// Number of media bytes sent for each playing session of a front, with the session's name.
     fn sent_bytes(&self, front: &str) -> Vec<(String, u64)> {
         let sessions = lock(&self.sessions);
-        let of_front = sessions.iter().filter(|(_, s)| s.front == front && s.plays);
-        of_front.map(|(name, s)| (name.clone(), s.bytes)).collect()
+        let of_front = sessions
+            .iter()
+            .filter(|(_, session)| session.front == front && session.plays);
+        of_front
+            .map(|(name, session)| (name.clone(), session.bytes))
+            .collect()
     }
 
-    /// Starts to send reports, until the process of the test bed ends.
-    pub(crate) fn notify_fronts(self: &Arc<Server>, fleet: &Arc<Fleet>) {
+    /// Starts to send reports. They are sent until the testbed's process ends.
+    pub(crate) fn notify_fronts(self: &Arc<SimulatedServer>, fleet: &Arc<Fleet>) {
         let mut reporter = Reporter {
             server: self.clone(),
             fleet: fleet.clone(),
             queue: DelayQueue {
-                draw_count: u64::from(self.id) << 32, // Why: each server draws a sequence of its own.
+                draw_count: u64::from(self.id) << 32, // Each server draws a sequence of its own.
                 ..DelayQueue::default()
             },
             short_delivery_at: Time::ZERO,
@@ -130,6 +138,7 @@
 }
 
 impl Reporter {
+    /// Sends the reports that are due and delivers the messages that have arrived.
     fn tick(&mut self) {
         if !self.server.up.load(Ordering::Acquire) || self.server.mode().vanished {
             self.queue.messages.clear();
@@ -178,7 +187,7 @@
         }
     }
 
-    /// For each front the first of its active sessions: an update names one.
+    /// The first playing session of each front, because an update must name a session.
     fn session_of_each_front(&self) -> BTreeMap<String, String> {
         let mut first_sessions: BTreeMap<String, String> = BTreeMap::new();
         for (name, session) in lock(&self.server.sessions).iter() {
--- a/crates/testbed/src/setup_log.rs
+++ b/crates/testbed/src/setup_log.rs
@@ -1,4 +1,4 @@
-//! A stand-in server's log of paid set-ups. It survives the process, unless a fault erases it.
+//! A simulated server's log of the set-ups that were billed. It survives restarts of the server, unless a fault erases it.
 use crankpaddle_server_protocol::session_inventory::{
     CompletedSession, InventorySession, SessionInventory,
 };
@@ -8,50 +8,54 @@
 /// The log of one server.
 #[derive(Debug)]
 pub(crate) struct SetUpLog {
-    /// Incarnations that the log covers, the present one last.
+    /// Incarnations that the log covers, the current one last.
     incarnations: Vec<String>,
-    /// Sessions that ran, by the name of their front.
-    ran: BTreeMap<String, Vec<CompletedSession>>,
-    /// Names of all sessions that ran. Only for the invariant checker; a server would not need them.
-    names: BTreeSet<String>,
+    /// Sessions that were billed, by the name of their front.
+    billed: BTreeMap<String, Vec<CompletedSession>>,
+    /// Names of all sessions that were billed. They serve the evidence of the invariant checker; a real server would not need
+    /// them.
+    billed_names: BTreeSet<String>,
 }
 
 impl SetUpLog {
     pub(crate) fn new(incarnation: u64) -> SetUpLog {
         SetUpLog {
             incarnations: vec![incarnation.to_string()],
-            ran: BTreeMap::new(),
-            names: BTreeSet::new(),
+            billed: BTreeMap::new(),
+            billed_names: BTreeSet::new(),
         }
     }
 
     /// Logs the start of an incarnation.
-    pub(crate) fn started(&mut self, incarnation: u64) {
+    pub(crate) fn log_start(&mut self, incarnation: u64) {
         self.incarnations.push(incarnation.to_string());
     }
 
-    /// Erases everything but the present incarnation's number.
-    pub(crate) fn lose(&mut self) {
-        self.ran.clear();
+    /// Erases the billed sessions and all incarnations but the current one. The names for the invariant checker stay.
+    pub(crate) fn erase(&mut self) {
+        self.billed.clear();
         self.incarnations.drain(..self.incarnations.len() - 1);
     }
 
     /// Whether the session of this name was billed.
-    pub(crate) fn has(&self, name: &str) -> bool {
-        self.names.contains(name)
+    pub(crate) fn was_billed(&self, name: &str) -> bool {
+        self.billed_names.contains(name)
     }
 
-    /// Logs a session that is billed.
-    pub(crate) fn ran(&mut self, name: &str, order: &SetUpBody) {
-        self.names.insert(name.to_owned());
-        let ran = CompletedSession {
-            bill: order.bill.clone(),
-            tenant: order.tenant.clone(),
+    /// Logs that a session is billed.
+    pub(crate) fn log_billed(&mut self, name: &str, request: &SetUpBody) {
+        self.billed_names.insert(name.to_owned());
+        let completed = CompletedSession {
+            bill: request.bill.clone(),
+            tenant: request.tenant.clone(),
         };
-        self.ran.entry(order.front.clone()).or_default().push(ran);
+        self.billed
+            .entry(request.front.clone())
+            .or_default()
+            .push(completed);
     }
 
-    /// The inventory for one front.
+    /// The inventory for one front, with its billed sessions from the log.
     pub(crate) fn inventory(
         &self,
         front: &str,
@@ -64,7 +68,7 @@
             age_ms,
             sessions: active,
             in_progress,
-            completed: self.ran.get(front).cloned().unwrap_or_default(),
+            completed: self.billed.get(front).cloned().unwrap_or_default(),
         }
     }
 }
--- a/crates/testbed/src/udp_proxy.rs
+++ b/crates/testbed/src/udp_proxy.rs
@@ -1,12 +1,12 @@
-//! The network between the fronts' peers: a UDP socket in the middle for every ordered pair of fronts, with a model of the
-//! network conditions that delays, loses or duplicates each datagram.
+//! A UDP proxy between the fronts of a membership. It has one socket for every ordered pair of fronts, and a model of the
+//! network conditions that can delay, lose or duplicate each datagram.
 //!
-//! A front's configuration names, for each other front, the socket that stands for it. What a front sends there is delivered
-//! to the other from the socket that stands for the sender in the other's configuration. The proxy learns a front's own
-//! address from what the front sends and reports.
+//! In a front's configuration, each other front has the address of a socket of the proxy. A datagram that the front sends there
+//! is delivered to the other front, from the socket that represents the sender in the other front's configuration. The proxy
+//! learns a front's real address from the datagrams that the front sends, or from its report.
 //!
-//! The proxy runs on a thread of its own, so that it adds to a datagram's delay only its wait in epoll and nothing of the
-//! stand-ins' work.
+//! The proxy runs on a thread of its own, so that a datagram is delayed only by the wait in epoll and not by the work of the
+//! simulated servers.
 use crankpaddle_fault_simulation::{DelayRange, Link, NetworkConditions};
 use crankpaddle_net::clock;
 use crankpaddle_time::{nanoseconds, Time};
@@ -21,16 +21,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 
-/// Events and datagrams handled at once.
+/// Maximum number of epoll events, and of datagrams of one socket, that are handled in one step.
 const BATCH: usize = 256;
-/// Bytes of a datagram at most.
+/// Maximum size of a datagram, bytes.
 const MAX_DATAGRAM: usize = 2048;
-/// Longest wait for a datagram, after which changes are applied; nanoseconds.
-const MAX_WAIT: u64 = 5_000_000;
-/// The fleet's key: any will do on loopback.
+/// Maximum wait for a datagram, nanoseconds. Queued changes are applied after each wait.
+const MAX_WAIT_NANOSECONDS: u64 = 5_000_000;
+/// The membership key of the fleet. On loopback it need not be secret.
 const KEY: &str = "c0ffee00c0ffee00c0ffee00c0ffee00";
 
-/// Writes the key of a fleet; returns its path.
+/// Writes the membership key of a fleet to a file in `dir`. Returns the path of the file.
 ///
 /// # Errors
 /// The file can't be written.
@@ -40,21 +40,22 @@
     Ok(path)
 }
 
-type Change = Box<dyn FnOnce(&mut Proxy) + Send>;
+/// A change that the proxy's thread applies to its state.
+type Change = Box<dyn FnOnce(&mut UdpProxy) + Send>;
 type Changes = Mutex<Vec<Change>>;
-/// The socket of each ordered pair of fronts, `None` for a front and itself.
+/// The socket of each ordered pair of fronts, `None` for a front and itself. The index is `from * size + to`.
 type Sockets = Vec<Option<UdpSocket>>;
 
-/// What a front sent so far.
+/// Totals of the datagrams that a front has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentTotals {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Number of payload bytes in all datagrams.
     pub bytes: u64,
 }
 
-/// The counters behind [`SentTotals`].
+/// The counters for [`SentTotals`], which the proxy's thread increments.
 #[derive(Default)]
 struct SentCounts {
     datagrams: AtomicU64,
@@ -71,7 +72,7 @@
 }
 
 impl PeerNetwork {
-    /// Opens all sockets; the network is without faults. It runs until all copies of this handle are dropped.
+    /// Opens all sockets and starts the proxy, without network faults. It runs until all clones of this handle are dropped.
     ///
     /// # Errors
     /// A socket can't be opened.
@@ -86,7 +87,7 @@
         let sent: Arc<Vec<SentCounts>> =
             Arc::new((0..size).map(|_| SentCounts::default()).collect());
         let changes: Arc<Changes> = Arc::default();
-        let proxy = Proxy {
+        let proxy = UdpProxy {
             size,
             sockets,
             poll,
@@ -97,8 +98,8 @@
             datagram_count: 0,
             sent: sent.clone(),
         };
-        let handle_changes = Arc::downgrade(&changes);
-        std::thread::spawn(move || proxy.run(&handle_changes));
+        let weak_changes = Arc::downgrade(&changes);
+        std::thread::spawn(move || proxy.run(&weak_changes));
         Ok(PeerNetwork {
             size,
             addresses,
@@ -107,13 +108,13 @@
         })
     }
 
-    /// The address at which a front's configuration has another front.
+    /// The address of front `to` in the configuration of front `from`; `None` where they are the same.
     #[must_use]
     pub fn address(&self, from: usize, to: usize) -> Option<SocketAddr> {
         self.addresses.get(from * self.size + to).copied().flatten()
     }
 
-    /// The block of a front's configuration with which it knows the others by this network.
+    /// The block of a front's configuration that connects it to the other fronts through this network.
     #[must_use]
     pub fn peers_block(
         &self,
@@ -122,43 +123,45 @@
         key: &Path,
         probe_every: &str,
     ) -> String {
-        let seed = |seed: &usize| {
+        let seed_line = |seed: &usize| {
             let address = self.address(front, *seed)?;
             Some(format!("  seed: \"{address}\"\n"))
         };
-        let peer = |to: usize| {
+        let peer_line = |to: usize| {
             let address = self.address(front, to)?;
             Some(format!(
                 "  way {{ name: \"front-{to}\" address: \"{address}\" }}\n"
             ))
         };
-        let seeds: String = seeds.iter().filter_map(seed).collect();
-        let peers: String = (0..self.size).filter_map(peer).collect();
+        let seeds: String = seeds.iter().filter_map(seed_line).collect();
+        let peers: String = (0..self.size).filter_map(peer_line).collect();
         format!(
             "peers {{\n  name: \"front-{front}\"\n  listen: \"127.0.0.1:0\"\n  key_file: {key:?}\n  \
              probe_every: {probe_every:?}\n{seeds}{peers}}}\n"
         )
     }
 
+    /// Queues a change for the proxy's thread.
     fn queue(&self, change: Change) {
         let mut changes = self.changes.lock().unwrap_or_else(PoisonError::into_inner);
         changes.push(change);
     }
 
-    /// Changes the network conditions for datagrams that are read from now on; takes effect some milliseconds later.
+    /// Changes the network conditions for datagrams that are read after the change takes effect, which is some milliseconds
+    /// later.
     pub fn change(&self, change: impl FnOnce(&mut NetworkConditions) + Send + 'static) {
         self.queue(Box::new(|proxy| change(&mut proxy.conditions)));
     }
 
-    /// Sets a front's own address, as the front reports it. Why: a front without seeds sends nothing by which it could be
-    /// learned.
+    /// Sets a front's real address, as the front reports it. This is needed because a front without seeds sends no datagram
+    /// from which the proxy could learn the address.
     pub fn set_front_address(&self, front: usize, address: SocketAddr) {
         self.queue(Box::new(move |proxy| {
             proxy.front_addresses[front] = Some(address);
         }));
     }
 
-    /// What a front sent so far.
+    /// Totals of the datagrams that a front has sent so far.
     #[must_use]
     pub fn sent(&self, front: usize) -> SentTotals {
         let counts = self.sent.get(front);
@@ -187,7 +190,7 @@
     Ok(sockets)
 }
 
-/// A datagram on its way. Ordered by arrival, then by the order of reading.
+/// A datagram in transit. Datagrams are ordered by arrival, then by the order in which they were read.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Datagram {
     arrives_at: Time,
@@ -197,11 +200,12 @@
     bytes: Vec<u8>,
 }
 
-struct Proxy {
+/// The state of the proxy's thread.
+struct UdpProxy {
     size: usize,
     sockets: Sockets,
     poll: OwnedFd,
-    /// The fronts' own addresses, as far as known.
+    /// The fronts' real addresses; `None` where not known yet.
     front_addresses: Vec<Option<SocketAddr>>,
     conditions: NetworkConditions,
     rng: oorandom::Rand64,
@@ -210,8 +214,8 @@
     sent: Arc<Vec<SentCounts>>,
 }
 
-impl Proxy {
-    /// Runs until no handle is left.
+impl UdpProxy {
+    /// Runs until all handles are dropped.
     fn run(mut self, changes: &Weak<Changes>) {
         while let Some(changes) = changes.upgrade() {
             let queued =
@@ -219,18 +223,18 @@
             for change in queued {
                 change(&mut self);
             }
-            if let Err(e) = self.step() {
-                // Without the network no front receives another, and the claims of the case fail.
-                return eprintln!("the net between fronts has ended: {e}");
+            if let Err(error) = self.step() {
+                // Without the proxy no front receives datagrams of another front, so the claims of the case fail.
+                return eprintln!("the UDP proxy between the fronts has stopped: {error}");
             }
         }
     }
 
-    /// Waits until a datagram can be read or delivered, for [`MAX_WAIT`] at most, and handles it.
+    /// Waits until a datagram can be read or delivered, for at most [`MAX_WAIT_NANOSECONDS`], and handles it.
     fn step(&mut self) -> io::Result<()> {
         let next = self.in_transit.peek();
         let due = next.map_or(Time::MAX, |Reverse(datagram)| datagram.arrives_at);
-        let wait = nanoseconds(due.duration_since(clock::now())).min(MAX_WAIT);
+        let wait = nanoseconds(due.duration_since(clock::now())).min(MAX_WAIT_NANOSECONDS);
         for index in self.wait_for_events(wait)? {
             self.read(index);
         }
@@ -238,7 +242,7 @@
         Ok(())
     }
 
-    /// Waits for so many nanoseconds at most; the indexes of the sockets that can be read.
+    /// Waits for at most `wait` nanoseconds. Returns the indexes of the sockets that can be read.
     fn wait_for_events(&self, wait: u64) -> io::Result<Vec<usize>> {
         let mut events = Vec::with_capacity(BATCH);
         let timeout = Timespec {
@@ -254,8 +258,8 @@
         Ok(indexes.collect())
     }
 
-    /// Reads what has been sent from one front to another. An error is that of an earlier delivery, to a front that does not
-    /// listen, and is ignored.
+    /// Reads the datagrams that one front has sent to another. Errors are ignored, because they come from an earlier delivery to
+    /// a front that does not listen.
     fn read(&mut self, index: usize) {
         let mut buffer = [0u8; MAX_DATAGRAM];
         for _ in 0..BATCH {
@@ -270,7 +274,7 @@
         }
     }
 
-    /// Counts a datagram and schedules its arrivals: none where it is lost, two where it is duplicated.
+    /// Counts a datagram and schedules its arrivals, which are none if it is lost and two if it is duplicated.
     fn accept(&mut self, index: usize, bytes: &[u8], sender: SocketAddr) {
         let (from, to) = (index / self.size, index % self.size);
         let counts = &self.sent[from];
