--- a/crates/testbed/build.rs
+++ b/crates/testbed/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema without protoc: descriptors for the text format, types for the checked form.
+//! Compiles the schema of scripts without `protoc`: descriptors for parsing the text format, and Rust types for the parsed form.
 use prost::Message;
 use std::{env, fs, path::PathBuf};
 
--- a/crates/testbed/src/crossing.rs
+++ b/crates/testbed/src/crossing.rs
@@ -44,8 +44,8 @@
 pub struct CrossZoneTraffic {
     /// Cross-zone traffic by second of the records' clock, computed from the sessions' rungs at that time.
     pub seconds: BTreeMap<u64, CrossZoneKb>,
-    /// Utility by name of the class: seconds watched, times the rung's utility, times the class's priority weight. It is reduced
-    /// in proportion where fewer bytes were sent than the rungs need.
+    /// Utility by name of the class: seconds watched, times the rung's utility, times the class's priority weight. It is
+    /// reduced in proportion where fewer bytes were sent than the rungs need.
     pub utility: BTreeMap<String, f64>,
     /// Number of media bytes sent for each flow, including the flows within a zone.
     pub bytes: BTreeMap<FlowKey, u64>,
@@ -240,14 +240,14 @@
         })
     }
 
-    /// Number of seconds after `after` from which on, until `to`, the mean rate over any `window_seconds` seconds is at most `kb`.
-    /// `None` where it never is.
+    /// Number of seconds after `after` from which on, until `to`, the mean rate over any `window_seconds` seconds is at most
+    /// `rate_kb`, kB a second. `None` where there is no such time.
     #[must_use]
-    pub fn below(&self, kb: f64, after: Time, to: Time, window_seconds: u64) -> Option<u64> {
+    pub fn below(&self, rate_kb: f64, after: Time, to: Time, window_seconds: u64) -> Option<u64> {
         let last = second_of(to).saturating_sub(window_seconds);
         let first = second_of(after);
         (first..last)
-            .find(|second| self.peak(start_of(*second), to, window_seconds).all <= kb)
+            .find(|second| self.peak(start_of(*second), to, window_seconds).all <= rate_kb)
             .map(|second| second - first)
     }
 }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -38,7 +38,7 @@
 
 const NANOSECONDS_PER_SECOND: u64 = 1_000_000_000;
 /// Time for all players to leave after the end of the case.
-const PLAYERS_LEAVE_WITHIN: Duration = Duration::from_secs(40);
+const PLAYERS_LEAVE_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// How a fleet case is played.
 #[derive(Clone, Debug)]
@@ -234,7 +234,7 @@
     let all: Vec<usize> = (0..cluster.processes.len()).collect();
     cluster.set_stopped(&all, false);
     players.leave();
-    let deadline = clock::now() + PLAYERS_LEAVE_WITHIN;
+    let deadline = clock::now() + PLAYERS_LEAVE_TIMEOUT;
     faults.extend(wait_for_players(&players, deadline));
     // The sessions of a killed front are never ended, so their streams stay.
     if !any_front_died(&backend.recorder) {
--- a/crates/testbed/src/host_faults.rs
+++ b/crates/testbed/src/host_faults.rs
@@ -166,8 +166,8 @@
         fs::write(&file, &bytes[..length])
     }
 
-    /// Minimum time, in nanoseconds, in which the servers that lost power can accept this number of sessions after their restart.
-    /// It is a lower bound for any front, because it assumes that each server accepts set-ups at the highest rate that does not
+    /// Minimum time, in nanoseconds, in which the servers that lost power can accept this number of sessions after their
+    /// restart. It is a lower bound for any front, because it assumes that each server accepts set-ups at the highest rate that does not
     /// overload it. Servers that kept power are assumed to accept their sessions at once. `None` where the sum exceeds its
     /// maximum number of steps.
     pub(crate) fn min_warm_up_time(&self, config: &Config, sessions: f64) -> Option<u64> {
--- a/crates/testbed/src/import/day_file.rs
+++ b/crates/testbed/src/import/day_file.rs
@@ -1,8 +1,8 @@
-//! The form of the bench's day files, as far as the import reads them. Field names are the file's, where not renamed.
+//! The parts of the bench's day files that the import reads. The serialized names are those of the files.
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A day. Times in microseconds, sizes in kB.
+/// A day file. Times are in microseconds and sizes in kB, except where a name says otherwise.
 #[derive(Deserialize)]
 pub(super) struct DayFile {
     pub(super) site: String,
@@ -80,7 +80,7 @@
     pub(super) cores: u32,
 }
 
-/// What the servers and titles of a site have in common.
+/// The common properties of the servers and titles of a site.
 #[derive(Deserialize)]
 pub(super) struct Family {
     pub(super) capacity: f64,
@@ -127,7 +127,7 @@
     pub(super) live: bool,
 }
 
-/// A fault. What `size`, `extra`, `on`, `which` and `steps` mean depends on its kind.
+/// A fault. The meaning of `size`, `extra` and `targets` depends on its kind.
 #[derive(Deserialize)]
 pub(super) struct BenchFault {
     pub(super) kind: String,
@@ -136,15 +136,17 @@
     pub(super) length: u64,
     pub(super) size: f64,
     pub(super) extra: f64,
-    pub(super) on: Vec<u32>,
-    pub(super) which: usize,
+    #[serde(rename = "on")]
+    pub(super) targets: Vec<u32>,
+    #[serde(rename = "which")]
+    pub(super) zone_index: usize,
     #[serde(default)]
-    pub(super) steps: Vec<Step>,
+    pub(super) steps: Vec<RestartStep>,
 }
 
-/// A step of a rolling restart: these servers stop.
+/// A step of a rolling restart, at which the servers with these numbers stop.
 #[derive(Deserialize)]
-pub(super) struct Step {
+pub(super) struct RestartStep {
     pub(super) at: u64,
     pub(super) stop: Vec<u32>,
 }
--- a/crates/testbed/src/import/fleet_text.rs
+++ b/crates/testbed/src/import/fleet_text.rs
@@ -1,21 +1,23 @@
-//! The fleet of a day file as the text of a configuration.
+//! Converts the fleet of a day file to the text of a configuration.
 use super::day_file::{Class, ClassTerms, DayFile, Machine, Tier};
 use crate::script::FLEET;
 use std::fmt::Write;
 
-/// What the fleet is made of.
+/// The parts of a day file from which the fleet's configuration is written.
 pub(super) struct FleetPlan<'a> {
     pub(super) day: &'a DayFile,
     pub(super) tier: &'a Tier,
     pub(super) machine: &'a Machine,
+    /// Number of cells of the scaled fleet.
     pub(super) cells: u32,
+    /// Number of servers of the scaled fleet.
     pub(super) servers: u32,
-    /// All rates are multiplied by this.
-    pub(super) rates: f64,
+    /// Factor of all media rates and bandwidths.
+    pub(super) rate_factor: f64,
 }
 
 impl FleetPlan<'_> {
-    /// The configuration without the front's block.
+    /// Text of the configuration without the front block.
     pub(super) fn text(&self) -> String {
         let mut text = self.fleet_block();
         self.write_ladder(&mut text);
@@ -32,13 +34,19 @@
     fn fleet_block(&self) -> String {
         let family = &self.day.family;
         let cores = f64::from(self.machine.cores);
-        let zones: Vec<String> = self.day.zones.iter().map(|z| format!("{z:?}")).collect();
+        let zones: Vec<String> = self
+            .day
+            .zones
+            .iter()
+            .map(|zone| format!("{zone:?}"))
+            .collect();
         let cells = self.cells;
         let racks = family.racks.min(cells);
-        let link = family.core_kb * cores * self.rates;
-        let uplinks = family.uplink_kb.len().max(1) as f64;
-        let uplink = family.uplink_kb.iter().sum::<f64>() / uplinks;
-        let uplink = uplink * self.rates * f64::from(self.servers) / self.day.servers.len() as f64;
+        let link = family.core_kb * cores * self.rate_factor;
+        let uplink_count = family.uplink_kb.len().max(1) as f64;
+        let uplink = family.uplink_kb.iter().sum::<f64>() / uplink_count;
+        let uplink =
+            uplink * self.rate_factor * f64::from(self.servers) / self.day.servers.len() as f64;
         let places = (family.core_slots * cores).round().max(1.0);
         format!(
             "fleet {{\n  zone: [{}]\n  cells: {cells}\n  racks: {racks}\n  kind {{ name: {:?} places: {places} }}\n  \
@@ -58,7 +66,7 @@
         let family = &self.day.family;
         text.push_str("ladder {\n");
         for (kb, utility) in family.rung_kb.iter().zip(&family.rung_utility) {
-            let kb = kb * self.rates;
+            let kb = kb * self.rate_factor;
             let _ = writeln!(text, "  rung {{ rate: \"{kb:.3}kB/s\" worth: {utility} }}");
         }
         let _ = writeln!(
@@ -117,7 +125,7 @@
     }
 }
 
-/// The idempotency of a class as a configuration has it.
+/// The idempotency of a class in the form of a configuration.
 fn effect(class: &Class) -> String {
     match class.effect.as_str() {
         "unsafe" => "PAID".to_owned(),
@@ -130,7 +138,7 @@
     }
 }
 
-/// A day file has no limits of sockets: those of the built-in fleet are taken.
+/// Writes the limits of the built-in fleet, because a day file has no limits of connections.
 fn write_limits(text: &mut String) {
     let limits = FLEET
         .split("limits {")
--- a/crates/testbed/src/import/mod.rs
+++ b/crates/testbed/src/import/mod.rs
@@ -1,7 +1,7 @@
-//! Scripts from the bench's day files, so that its faults can be played against the front itself.
+//! Converts day files of the bench, a separate simulator, to scripts, so that its faults can be played against real fronts.
 //!
-//! The bench plays with models of servers and its own clients; here the same faults meet sockets. Rates are scaled so
-//! that a day fits one machine. Faults that scripts don't have are left out and listed.
+//! The bench runs models of servers and clients of its own. An imported script plays the same faults with real sockets. Rates
+//! are scaled so that one machine can carry the load. Faults for which scripts have no kind are left out and listed.
 mod day_file;
 mod faults;
 mod fleet_text;
@@ -11,49 +11,49 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// A script and its fleet, as texts, and what was left out.
+/// An imported script and its fleet as texts, with the faults that were left out.
 #[derive(Clone, Debug)]
 pub struct Imported {
-    /// The day.
+    /// Text of the script.
     pub day: String,
-    /// The fleet's configuration.
+    /// Text of the fleet's configuration, without the front block.
     pub fleet: String,
-    /// Kinds of the faults that scripts don't have.
+    /// Kinds of the faults that were left out because scripts have no such kind; one entry for each fault.
     pub left_out: Vec<String>,
 }
 
-/// How a day is made to fit.
+/// How a day is scaled to one machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Fit {
-    /// All rates are multiplied by this.
+    /// Factor of all media rates and bandwidths.
     pub rates: f64,
-    /// Servers at most; the rate of sessions is scaled with them.
+    /// Maximum number of servers. The rate of new sessions is reduced in proportion where the day has more.
     pub servers: u32,
-    /// Fronts at most.
+    /// Maximum number of fronts.
     pub fronts: u32,
 }
 
-/// Why a file could not be imported.
+/// The reason why a file could not be imported.
 #[derive(Debug, Error)]
 pub enum ImportError {
     /// The text is not JSON in the form of a day file.
-    #[error("no day file of the bench: {0}")]
+    #[error("not a day file of the bench: {0}")]
     NotADayFile(#[from] serde_json::Error),
     /// The list of tiers is empty.
     #[error("the day has no tier of servers")]
     NoTier,
     /// The first tier has no machines.
-    #[error("the day has no kind of servers")]
+    #[error("the day's first tier has no kind of servers")]
     NoMachine,
-    /// Servers or fronts are missing, or the terms of a class.
+    /// There are no servers or no fronts, or the number of classes differs from that of their terms.
     #[error("the day has no servers, no fronts, or classes without terms")]
     Incomplete,
 }
 
-/// Turns a day file into a script whose fleet is named `fleet_name`.
+/// Converts a day file to a script with the name `name`, which refers to its fleet as `fleet_name`.
 ///
 /// # Errors
-/// The text is no day file, or lacks a part that a script needs.
+/// The text is not a day file, or lacks a part that a script needs.
 pub fn import(json: &str, name: &str, fleet_name: &str, fit: Fit) -> Result<Imported, ImportError> {
     let day: DayFile = serde_json::from_str(json)?;
     let tier = day.tiers.first().ok_or(ImportError::NoTier)?;
@@ -71,7 +71,7 @@
         machine,
         cells: day.family.cells.min(servers),
         servers,
-        rates: fit.rates,
+        rate_factor: fit.rates,
     };
     let mut text = format!(
         "# From the bench's day: {}, {}. Rates are {} of its own.\n",
@@ -95,17 +95,25 @@
 }
 
 fn write_servers(text: &mut String, day: &DayFile, servers: u32, cores: u32) {
-    let mean_work = day.classes.iter().map(|c| c.work * c.share).sum::<f64>();
+    let mean_work = day
+        .classes
+        .iter()
+        .map(|class| class.work * class.share)
+        .sum::<f64>();
     let _ = writeln!(
         text,
         "servers {{ count: {servers} cores: {cores} set_up_work: \"{mean_work:.0}us\" uneven: 0.2 segment: \"500ms\" }}"
     );
 }
 
-/// `part` is the part of the servers that is left.
-fn write_traffic(text: &mut String, day: &DayFile, part: f64) {
-    let rate = day.traffic.load * day.family.capacity * part;
-    let shares: Vec<String> = day.classes.iter().map(|c| c.share.to_string()).collect();
+/// Writes the traffic. `server_fraction` is the fraction of the day's servers that the script has.
+fn write_traffic(text: &mut String, day: &DayFile, server_fraction: f64) {
+    let rate = day.traffic.load * day.family.capacity * server_fraction;
+    let shares: Vec<String> = day
+        .classes
+        .iter()
+        .map(|class| class.share.to_string())
+        .collect();
     let _ = writeln!(
         text,
         "traffic {{\n  rate: {rate:.3}\n  share: [{}]\n  watch: \"{:.1}s\"\n  zipf: {:.3}\n  returns: {:.3}\n  \
@@ -119,7 +127,7 @@
     );
 }
 
-/// Writes all faults that scripts have; the kinds of the others.
+/// Writes all faults for which scripts have a kind. Returns the kinds of the others.
 fn write_faults(text: &mut String, day: &DayFile, servers: u32, fronts: u32) -> Vec<String> {
     let mut left_out = Vec::new();
     for fault in &day.faults {
--- a/crates/testbed/src/import/tests.rs
+++ b/crates/testbed/src/import/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::script;
 
-/// A small day in the form of the bench's files, written for this test.
+/// A small day file in the format of the bench, with these faults.
 fn sample(faults: &str) -> String {
     format!(
         r#"{{"site":"sample","kind":"trouble","length":20000000,"zones":["n","s"],"traffic":{{"load":0.5}},
@@ -24,7 +24,7 @@
     )
 }
 
-fn read(json: &str) -> (Imported, script::Day) {
+fn import_and_parse(json: &str) -> (Imported, script::Day) {
     let fit = Fit {
         rates: 0.1,
         servers: 6,
@@ -34,15 +34,16 @@
     let day = script::parse(&imported.day, |_| {
         Ok::<_, std::convert::Infallible>(imported.fleet.clone())
     });
-    let day = day.unwrap_or_else(|p| panic!("{p:?}\n{}\n{}", imported.day, imported.fleet));
+    let day =
+        day.unwrap_or_else(|problems| panic!("{problems:?}\n{}\n{}", imported.day, imported.fleet));
     (imported, day)
 }
 
 #[test]
-fn every_fault_that_scripts_have_is_imported() {
+fn every_fault_kind_that_scripts_have_is_imported() {
     use script::Kind;
     use std::time::Duration;
-    for (kind, size, extra, want) in [
+    for (kind, size, extra, expected) in [
         ("hang", 0.0, 0.0, Kind::Hang),
         ("vanish", 0.0, 0.0, Kind::Vanish),
         ("crash", 0.0, 0.0, Kind::Crash),
@@ -60,11 +61,11 @@
         ("deploy", 0.1, 4.0, Kind::Drain),
         ("balancer_stall", 1500.0, 3.0, Kind::Stall(vec![1, 2])),
     ] {
-        let (imported, day) = read(&sample(&fault(kind, size, extra)));
+        let (imported, day) = import_and_parse(&sample(&fault(kind, size, extra)));
         assert!(imported.left_out.is_empty(), "{kind}");
-        assert_eq!(day.faults[0].kind, want, "{kind}");
+        assert_eq!(day.faults[0].kind, expected, "{kind}");
     }
-    let (imported, day) = read(&sample(&fault("tenant_burst", 2.0, 1.0)));
+    let (imported, day) = import_and_parse(&sample(&fault("tenant_burst", 2.0, 1.0)));
     assert_eq!(
         (imported.left_out, day.faults.len()),
         (vec!["tenant_burst".to_owned()], 0)
@@ -72,8 +73,8 @@
 }
 
 #[test]
-fn sizes_are_scaled_and_terms_are_kept() {
-    let (_, day) = read(&sample(""));
+fn rates_and_counts_are_scaled_and_class_terms_are_kept() {
+    let (_, day) = import_and_parse(&sample(""));
     let config = script::fleet_config(&day.fleet).unwrap();
     assert_eq!((day.rate, day.fronts, day.servers), (2.0, 3, 6));
     assert_eq!(config.settings.rung_kb, [20.0, 50.0, 150.0]);
--- a/crates/testbed/src/invariant_checker/at_most_once.rs
+++ b/crates/testbed/src/invariant_checker/at_most_once.rs
@@ -85,7 +85,7 @@
 
     fn on_set_up(&mut self, at: Time, name: &'a str, bill: &'a str, class: &str) {
         let mut classes = self.evidence.rules.classes.iter();
-        let is_paid = classes.any(|rule| rule.paid && rule.name == class);
+        let is_paid = classes.any(|limits| limits.paid && limits.name == class);
         let state = self.bills.entry(bill).or_default();
         let resent = is_paid && state.may_have_run;
         if let Some(first) = state.in_flight.replace(name) {
@@ -148,10 +148,10 @@
         let Some(Request { bill, class }) = self.requests.get(&call) else {
             return;
         };
-        let class_rule = self.evidence.rules.classes.get(usize::from(*class));
-        let is_paid = class_rule.is_some_and(|rule| rule.paid);
+        let class_limits = self.evidence.rules.classes.get(usize::from(*class));
+        let is_paid = class_limits.is_some_and(|limits| limits.paid);
         let state = self.bills.get(bill);
-        if is_paid && state.is_some_and(|s| s.may_have_run || s.in_flight.is_some()) {
+        if is_paid && state.is_some_and(|state| state.may_have_run || state.in_flight.is_some()) {
             let description = format!("call {call} was refused though bill {bill} may have run");
             self.breach(at, description);
         }
--- a/crates/testbed/src/invariant_checker/class_limits.rs
+++ b/crates/testbed/src/invariant_checker/class_limits.rs
@@ -1,6 +1,6 @@
 //! Rule 5: sessions stay at or above their class's lowest rung and within its limit for a title.
 use super::evidence::{Evidence, RecordedSession};
-use super::rules::ClassRule;
+use super::rules::ClassLimits;
 use super::verdict::Verdict;
 use crate::record::{Record, Reply, Seen};
 use crankpaddle_time::Time;
@@ -10,15 +10,15 @@
 
 /// The sessions of one class and title at one front. They share the class's limit of sessions for a title.
 #[derive(PartialEq, Eq, Hash)]
-struct SeatPool<'a> {
+struct TitleSessions<'a> {
     front: &'a str,
     class: &'a str,
     title: &'a str,
 }
 
-impl<'a> SeatPool<'a> {
-    fn of(session: &RecordedSession<'a>) -> SeatPool<'a> {
-        SeatPool {
+impl<'a> TitleSessions<'a> {
+    fn of(session: &RecordedSession<'a>) -> TitleSessions<'a> {
+        TitleSessions {
             front: session.front,
             class: session.class,
             title: session.title,
@@ -30,7 +30,7 @@
     evidence: &'e Evidence<'a>,
     verdict: &'e mut Verdict,
     /// Names of the sessions that are set up or play.
-    active: HashMap<SeatPool<'a>, BTreeSet<&'a str>>,
+    active: HashMap<TitleSessions<'a>, BTreeSet<&'a str>>,
 }
 
 /// Adds the breaches of this rule to `verdict`.
@@ -49,15 +49,15 @@
     fn observe(&mut self, at: Time, seen: &'a Seen) {
         match seen {
             Seen::SetUp { name, rung, .. } => {
-                if let Some(rule) = self.check_rung(at, name, *rung) {
-                    self.check_seats(at, name, rule);
+                if let Some(limits) = self.check_rung(at, name, *rung) {
+                    self.check_session_count(at, name, limits);
                 }
             }
             Seen::Rung { name, rung } => {
                 self.check_rung(at, name, *rung);
             }
-            Seen::Ended { name, .. } => self.release_seat(name),
-            Seen::Replied { name, reply } if *reply != Reply::Plays => self.release_seat(name),
+            Seen::Ended { name, .. } => self.remove_session(name),
+            Seen::Replied { name, reply } if *reply != Reply::Plays => self.remove_session(name),
             _ => {}
         }
     }
@@ -68,47 +68,48 @@
 
     /// Checks that a session's rung is not below its class's lowest. Returns the limits of the class; `None` where the session
     /// or its class is unknown.
-    fn check_rung(&mut self, at: Time, name: &str, rung: u8) -> Option<&'a ClassRule> {
+    fn check_rung(&mut self, at: Time, name: &str, rung: u8) -> Option<&'a ClassLimits> {
         let class = self.evidence.session(name)?.class;
         let mut classes = self.evidence.rules.classes.iter();
-        let Some(rule) = classes.find(|rule| rule.name == class) else {
+        let Some(limits) = classes.find(|limits| limits.name == class) else {
             self.breach(at, format!("session {name} is of unknown class {class:?}"));
             return None;
         };
-        let floor = rule.floor;
-        if rung < floor {
-            let description = format!("session {name} at rung {rung}, under the floor {floor}");
+        let lowest_rung = limits.lowest_rung;
+        if rung < lowest_rung {
+            let description =
+                format!("session {name} at rung {rung}, under the floor {lowest_rung}");
             self.breach(at, description);
         }
-        Some(rule)
+        Some(limits)
     }
 
     /// Adds a new session and checks that its class's limit of sessions for a title is kept.
-    fn check_seats(&mut self, at: Time, name: &'a str, rule: &ClassRule) {
+    fn check_session_count(&mut self, at: Time, name: &'a str, limits: &ClassLimits) {
         let Some(session) = self.evidence.session(name) else {
             return;
         };
-        if rule.seats == 0 {
+        if limits.max_sessions_per_title == 0 {
             return;
         }
-        let seats = self.active.entry(SeatPool::of(session)).or_default();
-        seats.insert(name);
-        let count = seats.len();
-        if count > rule.seats as usize {
+        let names = self.active.entry(TitleSessions::of(session)).or_default();
+        names.insert(name);
+        let count = names.len();
+        if count > limits.max_sessions_per_title as usize {
             let description = format!(
                 "{count} sessions of {:?}, {} seats",
-                session.title, rule.seats
+                session.title, limits.max_sessions_per_title
             );
             self.breach(at, description);
         }
     }
 
-    fn release_seat(&mut self, name: &str) {
+    fn remove_session(&mut self, name: &str) {
         let Some(session) = self.evidence.session(name) else {
             return;
         };
-        if let Some(seats) = self.active.get_mut(&SeatPool::of(session)) {
-            seats.remove(name);
+        if let Some(names) = self.active.get_mut(&TitleSessions::of(session)) {
+            names.remove(name);
         }
     }
 }
--- a/crates/testbed/src/invariant_checker/mod.rs
+++ b/crates/testbed/src/invariant_checker/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::record::Record;
 use evidence::Evidence;
-pub use rules::{ClassRule, RetryBudget, Rules};
+pub use rules::{ClassLimits, RetryBudget, Rules};
 pub use verdict::{Breach, Verdict};
 
 /// Number of the rule that no paid set-up runs twice. Two modules report its breaches.
--- a/crates/testbed/src/invariant_checker/retry_budget.rs
+++ b/crates/testbed/src/invariant_checker/retry_budget.rs
@@ -23,7 +23,7 @@
 
 /// Adds the breaches of this rule to `verdict`.
 pub(super) fn check(evidence: &Evidence<'_>, verdict: &mut Verdict) {
-    let Some(budget) = evidence.rules.retry else {
+    let Some(budget) = evidence.rules.retry_budget else {
         return;
     };
     let mut checker = Checker {
@@ -65,7 +65,8 @@
         self.retries.entry(front).or_default().push(at);
         let retry_count = self.count_in_window(&self.retries, front, at);
         let request_count = self.count_in_window(&self.requests, front, at);
-        let allowed = self.budget.floor + self.budget.ratio * request_count as f64;
+        let allowed =
+            self.budget.min_retries + self.budget.retries_per_request * request_count as f64;
         if retry_count as f64 > allowed {
             let description =
                 format!("front {front}: {retry_count} further attempts, {allowed:.1} allowed");
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,19 +1,22 @@
-//! The test bed: stand-ins of everything that surrounds a front, scripted days of faults, and the invariant checker.
+//! The testbed: simulated servers, list service and players around real fronts, scripted scenarios with faults, and the
+//! invariant checker.
 //!
-//! - [`script`]: days as files, checked with line and column;
-//! - [`model`]: links, uplinks, set-up work, slow start and overload, without I/O;
-//! - [`server`], [`list_service`], [`player`]: stand-ins on loopback sockets, which record what passes;
-//! - [`record`]: the records;
-//! - [`invariant_checker`]: the six rules, judged from records alone;
-//! - [`crossing`]: traffic between zones and utility, from records;
+//! - [`script`]: scenarios as files; each problem of a file is reported with its line and column;
+//! - [`model`]: links, uplinks, set-up work, slow start and overload of a fleet, without I/O;
+//! - [`server`], [`list_service`], [`player`]: simulated servers, list service and players on loopback sockets;
+//! - [`fault_mode`]: the faults of a simulated server;
+//! - [`record`]: records of the events at the sockets;
+//! - [`invariant_checker`]: checks the six rules of fronts, from records alone;
+//! - [`crossing`]: cross-zone traffic and utility, from records;
 //! - [`process`]: fronts as processes;
 //! - [`scenario_runner`]: plays a script against front processes;
-//! - [`udp_proxy`], [`membership_poll`], [`fleet`]: plays a case of a fleet whose fronts know each other, with network
-//!   faults between every ordered pair;
-//! - [`disk`]: a disk that fails on request;
-//! - [`import`]: scripts from the bench's day files.
+//! - [`fleet`]: plays fleet cases, in which the fronts form a membership;
+//! - [`udp_proxy`], [`membership_poll`]: the network between these fronts, with faults between every ordered pair, and the poll
+//!   of their reports about each other;
+//! - [`disk`]: a simulated disk that can be made full or slow;
+//! - [`import`]: converts day files of the bench to scripts.
 //!
-//! All figures that come out of it are from simulated servers.
+//! All figures that the testbed produces come from simulated servers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 pub mod crossing;
--- a/crates/testbed/src/model.rs
+++ b/crates/testbed/src/model.rs
@@ -20,7 +20,8 @@
     pub slow_start_duration: Duration,
     /// Fraction of its full set-up rate that a server has at the beginning of its slow start.
     pub slow_start_min_factor: f64,
-    /// A server in slow start is overloaded by more set-ups within `overload_window` than this multiple of its rate at that time.
+    /// A server in slow start is overloaded by more set-ups within `overload_window` than this multiple of its rate at that
+    /// time.
     pub overload_multiple: f64,
     /// Length of the sliding window in which the set-ups for `overload_multiple` are counted.
     pub overload_window: Duration,
@@ -68,8 +69,8 @@
 }
 
 impl FleetModel {
-    /// A fleet without streams, whose servers are past their slow start. `links` has the number of the rack and the bandwidth of
-    /// the link of each server; all bandwidths are in kB a second.
+    /// A fleet without streams, whose servers are past their slow start. `links` has the number of the rack and the bandwidth
+    /// of the link of each server. All bandwidths are in kB a second.
     #[must_use]
     pub fn new(spec: ServerSpec, links: &[(usize, f64)], uplinks_kb: Vec<f64>) -> FleetModel {
         let server = |(rack, link_kb): &(usize, f64)| ModelServer {
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Time within which a front must print the address at which it listens.
-const START_WITHIN: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval at which the end of a process is checked.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -134,5 +134,5 @@
         }
         let _ = sender.send(line);
     });
-    receiver.recv_timeout(START_WITHIN).unwrap_or_default()
+    receiver.recv_timeout(START_TIMEOUT).unwrap_or_default()
 }
--- a/crates/testbed/src/scenario_runner/mod.rs
+++ b/crates/testbed/src/scenario_runner/mod.rs
@@ -39,7 +39,7 @@
 /// Drain grace of the rules: a front may send sessions to a draining server for this long after it was notified.
 pub const DRAIN_GRACE: Duration = Duration::from_secs(1);
 /// Seconds to wait until a front's traffic report has no unsettled sessions.
-const SETTLED_WITHIN_SECONDS: u32 = 15;
+const REPORT_SETTLE_SECONDS: u32 = 15;
 /// Timeout of one request for a traffic report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 /// A front's process must end within its configured drain time and this time.
@@ -222,7 +222,7 @@
 /// failed.
 fn settled_report(front: &SocketAddr) -> Option<TrafficReport> {
     let mut last = None;
-    for _ in 0..SETTLED_WITHIN_SECONDS {
+    for _ in 0..REPORT_SETTLE_SECONDS {
         let report = fetch(front, REPORT_TIMEOUT).ok()?;
         let settled = report.unsettled_sessions == 0;
         last = Some(report);
--- a/crates/testbed/src/scenario_runner/timeline.rs
+++ b/crates/testbed/src/scenario_runner/timeline.rs
@@ -16,7 +16,7 @@
 /// Maximum time that a session is watched after the end of the scenario.
 const WATCH_AFTER_END: Duration = Duration::from_secs(10);
 /// Time for all players to leave after the end of the scenario.
-const PLAYERS_LEAVE_WITHIN: Duration = Duration::from_secs(40);
+const PLAYERS_LEAVE_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// The start or end of a fault.
 struct Transition<'a> {
@@ -60,7 +60,7 @@
         fronts_by_zone: zones.map(|zone| fronts_for_zone(fronts, zone)).collect(),
         start: clock::now(),
     };
-    let deadline = timeline.start + day.length + PLAYERS_LEAVE_WITHIN;
+    let deadline = timeline.start + day.length + PLAYERS_LEAVE_TIMEOUT;
     timeline.run_to_end()?;
     let mut faults = Vec::new();
     faults.extend(wait_for_players(&players, deadline));
--- a/crates/testbed/src/server/fleet.rs
+++ b/crates/testbed/src/server/fleet.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Time to wait until the port of a stopped server is free again.
-const PORT_FREE_WITHIN: Duration = Duration::from_secs(5);
+const PORT_FREE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between two attempts to listen on the port.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// Interval at which connections are checked for expired timeouts.
@@ -175,8 +175,8 @@
         change(&mut lock(&self.servers[id as usize].mode));
     }
 
-    /// Ends all playing sessions of a server and notifies their fronts: with `finished` as at the end of the title, otherwise as
-    /// on a graceful shutdown.
+    /// Ends all playing sessions of a server and notifies their fronts. With `finished` the end is that of the title, otherwise
+    /// that of a graceful shutdown.
     pub fn end_sessions(&self, id: u32, finished: bool) {
         let server = &self.servers[id as usize];
         let playing =
@@ -209,9 +209,9 @@
     }
 }
 
-/// Listens on a port, and retries for [`PORT_FREE_WITHIN`] while the port is in use.
+/// Listens on a port, and retries for [`PORT_FREE_TIMEOUT`] while the port is in use.
 fn listen_once_free(address: SocketAddr) -> io::Result<TcpListener> {
-    let deadline = clock::now() + PORT_FREE_WITHIN;
+    let deadline = clock::now() + PORT_FREE_TIMEOUT;
     loop {
         match listen(address) {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse && clock::now() < deadline => {
--- a/crates/testbed/tests/breaches.rs
+++ b/crates/testbed/tests/breaches.rs
@@ -1,6 +1,6 @@
-//! The invariant checker on records: for each rule breaches that it must find, and beside each the most similar records that
-//! are none.
-use crankpaddle_testbed::invariant_checker::{judge, ClassRule, RetryBudget, Rules, Verdict};
+//! Tests the invariant checker. For each rule there are records with a breach, which it must find, and very similar records
+//! without a breach, which must pass.
+use crankpaddle_testbed::invariant_checker::{judge, ClassLimits, RetryBudget, Rules, Verdict};
 use crankpaddle_testbed::record::{PlayerReply, Record, Reply, Seen};
 use crankpaddle_time::Time;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn rules() -> Rules {
-    let class = |name: &str, paid, floor, seats| ClassRule {
+    let class = |name: &str, paid, lowest_rung, max_sessions_per_title| ClassLimits {
         name: name.into(),
         paid,
-        floor,
-        seats,
+        lowest_rung,
+        max_sessions_per_title,
     };
     Rules {
         classes: vec![class("paid", true, 1, 2), class("free", false, 0, 0)],
@@ -21,15 +21,16 @@
         slow_start_min_factor: 0.5,
         overload_multiple: 2.0,
         overload_window: SECOND,
-        retry: Some(RetryBudget {
-            floor: 1.0,
-            ratio: 0.0,
+        retry_budget: Some(RetryBudget {
+            min_retries: 1.0,
+            retries_per_request: 0.0,
             window: 10 * SECOND,
         }),
         tolerance: Duration::from_millis(50),
     }
 }
 
+/// A time on the clock of the tests. Records have times in milliseconds after its start.
 fn time(ms: u64) -> Time {
     Time::ZERO + 1000 * SECOND + Duration::from_millis(ms)
 }
@@ -107,20 +108,20 @@
     at(ms, Seen::Stalled { front: 0, stopped })
 }
 
-/// Numbers of the rules that the records break, each once in a row.
+/// Numbers of the rules that the records break, in the order of the breaches; equal neighbours are reduced to one.
 fn broken_rules(records: &[Record]) -> Vec<u8> {
     let mut sorted = records.to_vec();
-    sorted.sort_by_key(|r| r.at);
+    sorted.sort_by_key(|record| record.at);
     let mut found: Vec<u8> = judge(&rules(), &sorted)
         .breaches
         .iter()
-        .map(|b| b.rule)
+        .map(|breach| breach.rule)
         .collect();
     found.dedup();
     found
 }
 
-/// A call that is set up, billed and answered.
+/// The records of a call that is set up, billed and answered.
 fn complete_call() -> Vec<Record> {
     vec![
         open_sent(0, 1, "b1", 0),
@@ -131,7 +132,7 @@
     ]
 }
 
-/// Numbers of the rules that a complete call and these records break.
+/// Numbers of the rules that the records of a complete call together with these records break.
 fn broken_rules_with(more: &[Record]) -> Vec<u8> {
     broken_rules(&[complete_call(), more.to_vec()].concat())
 }
@@ -139,13 +140,13 @@
 #[test]
 fn records_without_a_breach_pass_all_rules() {
     let verdict = judge(&rules(), &complete_call());
-    let want = Verdict {
+    let expected = Verdict {
         sessions: 1,
         answered_once: 1,
         played: 1,
         ..Verdict::default()
     };
-    assert_eq!((verdict.passed_rule_count(), verdict), (6, want));
+    assert_eq!((verdict.passed_rule_count(), verdict), (6, expected));
 }
 
 #[test]
@@ -153,7 +154,7 @@
     assert_eq!(
         broken_rules_with(&[open_sent(0, 2, "b2", 1)]),
         [1],
-        "never answered"
+        "the call is never answered"
     );
     assert_eq!(
         broken_rules_with(&[
@@ -161,17 +162,17 @@
             at(99, Seen::Disconnected { call: 2 })
         ]),
         [0u8; 0],
-        "the player left"
+        "the player disconnected"
     );
     assert_eq!(
         broken_rules_with(&[answered(40, 1, PlayerReply::Plays)]),
         [1],
-        "answered twice"
+        "the call is answered twice"
     );
     assert_eq!(
         broken_rules_with(&[answered(40, 9, PlayerReply::Failed)]),
         [1],
-        "an answer to no call"
+        "the answered call was never made"
     );
     assert_eq!(
         broken_rules_with(&[
@@ -179,13 +180,13 @@
             answered(4040, 2, PlayerReply::Failed)
         ]),
         [0u8; 0],
-        "within the tolerance"
+        "the answer is late, but within the tolerance"
     );
     let late = [
         open_sent(0, 2, "b2", 1),
         answered(4060, 2, PlayerReply::Failed),
     ];
-    assert_eq!(broken_rules_with(&late), [1], "late");
+    assert_eq!(broken_rules_with(&late), [1], "the answer is late");
     let stopped = [
         late.to_vec(),
         vec![stalled(1000, true), stalled(4050, false)],
@@ -194,7 +195,7 @@
     assert_eq!(
         broken_rules_with(&stopped),
         [0u8; 0],
-        "late, but the front was stopped"
+        "the answer is late, but the front was stopped"
     );
 }
 
@@ -204,12 +205,12 @@
     assert_eq!(
         broken_rules_with(&[open_sent(100, 2, "b2", 1), died(200, 0)]),
         [0u8; 0],
-        "its front was killed"
+        "the called front was killed"
     );
     assert_eq!(
         broken_rules_with(&[open_sent(100, 2, "b2", 1), died(60, 0)]),
         [0u8; 0],
-        "killed just before the call was recorded"
+        "the front was killed just before the call was recorded"
     );
     assert_eq!(
         broken_rules_with(&[open_sent(100, 2, "b2", 1), died(200, 1)]),
@@ -219,12 +220,12 @@
     assert_eq!(
         broken_rules_with(&[open_sent(100, 2, "b2", 1), died(20, 0)]),
         [1],
-        "sent to its next incarnation"
+        "the call was sent to the next incarnation of the front"
     );
     assert_eq!(
         broken_rules_with(&[open_sent(100, 2, "b2", 1), died(4200, 0)]),
         [1],
-        "killed after the answer was due"
+        "the front was killed after the answer was due"
     );
 }
 
@@ -241,7 +242,7 @@
             replied(60, "n2", Reply::Full)
         ]),
         [2],
-        "it had run"
+        "the first set-up ran"
     );
     let full = [
         open_sent(0, 2, "b2", 0),
@@ -256,7 +257,7 @@
     assert_eq!(
         broken_rules_with(&[&full[..], &again[..]].concat()),
         [0u8; 0],
-        "it never ran"
+        "the first set-up never ran"
     );
     for reply in [Reply::Error, Reply::Reset, Reply::Left] {
         let ran = [
@@ -267,12 +268,12 @@
         assert_eq!(
             broken_rules_with(&[&ran[..], &again[..]].concat()),
             [2],
-            "{reply:?} may have run"
+            "a set-up that ended with {reply:?} may have run"
         );
         assert_eq!(
             broken_rules_with(&[&ran[..], &[answered(9, 2, PlayerReply::Refused)]].concat()),
             [2],
-            "rejected after {reply:?}"
+            "the call was rejected although its set-up ended with {reply:?}"
         );
         assert_eq!(
             broken_rules_with(&[&ran[..], &[answered(9, 2, PlayerReply::Failed)]].concat()),
@@ -282,48 +283,48 @@
     assert_eq!(
         broken_rules_with(&[set_up(50, "n1", "b9", "free", 2)]),
         [2],
-        "one name, two sessions"
+        "two sessions have the same name"
     );
 }
 
 #[test]
 fn two_attempts_in_flight_together_are_found() {
-    let two = |closed: u64, reply| {
+    let broken_rules_of_overlap = |first_ended: u64, reply| {
         let first = [
             open_sent(0, 2, "b2", 1),
             set_up(1, "n2", "b2", "free", 1),
             set_up(500, "n3", "b2", "free", 2),
         ];
         let ends = [
-            replied(closed, "n2", reply),
+            replied(first_ended, "n2", reply),
             replied(700, "n3", Reply::Plays),
             answered(701, 2, PlayerReply::Plays),
         ];
         broken_rules(&[&first[..], &ends[..]].concat())
     };
-    assert_eq!(two(499, Reply::Left), [0u8; 0]);
+    assert_eq!(broken_rules_of_overlap(499, Reply::Left), [0u8; 0]);
     assert_eq!(
-        two(540, Reply::Left),
+        broken_rules_of_overlap(540, Reply::Left),
         [0u8; 0],
-        "closed before, read within the tolerance"
+        "the front closed the connection before; the server read that within the tolerance"
     );
     assert_eq!(
-        two(540, Reply::Reset),
+        broken_rules_of_overlap(540, Reply::Reset),
         [0u8; 0],
-        "reset before, recorded within the tolerance"
+        "the server reset the connection before; it was recorded within the tolerance"
     );
-    assert_eq!(two(600, Reply::Reset), [2]);
-    assert_eq!(two(600, Reply::Left), [2]);
-    assert_eq!(two(510, Reply::Plays), [2]);
-    let never = [
+    assert_eq!(broken_rules_of_overlap(600, Reply::Reset), [2]);
+    assert_eq!(broken_rules_of_overlap(600, Reply::Left), [2]);
+    assert_eq!(broken_rules_of_overlap(510, Reply::Plays), [2]);
+    let without_end = [
         open_sent(0, 2, "b2", 1),
         set_up(1, "n2", "b2", "free", 1),
         set_up(500, "n3", "b2", "free", 2),
     ];
     assert_eq!(
-        broken_rules(&[&never[..], &[answered(501, 2, PlayerReply::Plays)]].concat()),
+        broken_rules(&[&without_end[..], &[answered(501, 2, PlayerReply::Plays)]].concat()),
         [2],
-        "the first never ended"
+        "the first attempt never ended"
     );
 }
 
@@ -343,23 +344,23 @@
     assert_eq!(
         broken_rules_of_drain(2000, &[listed(960, 7, false)]),
         [0u8; 0],
-        "within the grace"
+        "the set-up is within the grace"
     );
     assert_eq!(broken_rules_of_drain(2000, &[listed(900, 7, false)]), [3]);
     assert_eq!(
         broken_rules_of_drain(2000, &[listed(900, 8, false)]),
         [0u8; 0],
-        "another server"
+        "another server drains"
     );
     assert_eq!(
         broken_rules_of_drain(3000, &[listed(100, 7, false), listed(2000, 7, true)]),
         [0u8; 0],
-        "ready again"
+        "the server is ready again"
     );
     assert_eq!(
         broken_rules_of_drain(3000, &[listed(100, 7, false), listed(500, 7, false)]),
         [3],
-        "notified twice: the first counts"
+        "the grace starts with the first of two notifications"
     );
     let stopped = [
         listed(900, 7, false),
@@ -369,13 +370,14 @@
     assert_eq!(
         broken_rules_of_drain(2000, &stopped),
         [0u8; 0],
-        "not read while it was stopped"
+        "the front could not read the notification while it was stopped"
     );
 }
 
 #[test]
 fn a_server_overloaded_in_its_slow_start_is_found() {
-    // 20 places over 10 s, at first half of that rate, times the overload multiple of 2: 2 a second, and one more.
+    // The full rate is 20 streams in 10 s, so 2 a second. The slow start begins with half of that, and the overload multiple
+    // is 2. The server therefore accepts 2 set-ups a second and one more.
     let start = at(
         0,
         Seen::Started {
@@ -383,10 +385,10 @@
             places: 20.0,
         },
     );
-    let burst = |count: u64, from: u64, step: u64| {
+    let burst = |count: u64, first_ms: u64, interval_ms: u64| {
         let mut all = vec![start.clone()];
         for n in 0..count {
-            let (name, bill, ms) = (format!("c{n}"), format!("d{n}"), from + n * step);
+            let (name, bill, ms) = (format!("c{n}"), format!("d{n}"), first_ms + n * interval_ms);
             all.extend([
                 open_sent(ms, 100 + n, &bill, 1),
                 set_up(ms, &name, &bill, "free", 3),
@@ -415,12 +417,12 @@
     assert_eq!(
         broken_rules(&[burst(40, 100, 500), notified.to_vec()].concat()),
         [0u8; 0],
-        "at the allowed rate"
+        "the set-ups arrive at the allowed rate"
     );
     assert_eq!(
         broken_rules(&[burst(9, 20_000, 10), notified.to_vec()].concat()),
         [0u8; 0],
-        "after the slow start"
+        "the slow start is over"
     );
     assert_eq!(broken_rules(&[at(0, Seen::Fell { server: 3 })]), [4]);
 }
@@ -460,12 +462,12 @@
     assert_eq!(
         broken_rules_with(&session(1, 100)),
         [0u8; 0],
-        "as many as allowed"
+        "the number of sessions is the maximum"
     );
     assert_eq!(
         broken_rules_with(&[session(1, 100), session(2, 200)].concat()),
         [5],
-        "three sessions"
+        "there is one session too many"
     );
     let ended = at(
         150,
@@ -477,13 +479,13 @@
     assert_eq!(
         broken_rules_with(&[session(1, 100), vec![ended], session(2, 200)].concat()),
         [0u8; 0],
-        "one has ended"
+        "one session has ended before"
     );
 }
 
 #[test]
 fn retries_beyond_the_budget_are_found() {
-    let attempts = |count: u64| {
+    let broken_rules_of_attempts = |count: u64| {
         let mut all = vec![open_sent(0, 5, "r", 1)];
         for n in 0..count {
             let name = format!("t{n}");
@@ -495,9 +497,13 @@
         all.push(answered(900, 5, PlayerReply::Failed));
         broken_rules(&all)
     };
-    assert_eq!(attempts(2), [0u8; 0], "one retry");
-    assert_eq!(attempts(3), [6]);
-    // The same viewer sends another request: its first attempt is no retry.
+    assert_eq!(
+        broken_rules_of_attempts(2),
+        [0u8; 0],
+        "one retry is allowed"
+    );
+    assert_eq!(broken_rules_of_attempts(3), [6]);
+    // Further requests under the same billing reference: the first attempt of each is not a retry.
     let again = [
         open_sent(0, 5, "r", 1),
         set_up(1, "t1", "r", "free", 1),
--- a/crates/testbed/tests/record_texts.rs
+++ b/crates/testbed/tests/record_texts.rs
@@ -1,4 +1,4 @@
-//! Recordings on disk keep their form: what an earlier release wrote is read, and written again the same.
+//! Guards the format of recordings on disk: a line that an earlier release wrote must be read, and written again unchanged.
 use crankpaddle_testbed::record::{Record, Seen};
 use serde::{de::DeserializeOwned, Serialize};
 
@@ -34,21 +34,17 @@
     r#"{"at":5,"what":"died","front":3}"#,
 ];
 
-fn assert_read_and_written_the_same<T: DeserializeOwned + Serialize>(line: &str) {
+fn assert_round_trip<T: DeserializeOwned + Serialize>(line: &str) {
     let read: T = serde_json::from_str(line).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), line);
 }
 
 #[test]
 fn each_event_is_read_and_written_in_its_recorded_form() {
-    EVENTS
-        .into_iter()
-        .for_each(assert_read_and_written_the_same::<Seen>);
+    EVENTS.into_iter().for_each(assert_round_trip::<Seen>);
 }
 
 #[test]
 fn each_record_is_read_and_written_in_its_recorded_form() {
-    RECORDS
-        .into_iter()
-        .for_each(assert_read_and_written_the_same::<Record>);
+    RECORDS.into_iter().for_each(assert_round_trip::<Record>);
 }
