--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -10,8 +10,8 @@
 mod power;
 mod processes;
 
-use crate::host_faults::Hosts;
 pub use crate::host_faults::Memory;
+use crate::host_faults::SimulatedHosts;
 use crate::invariant_checker::{judge, Rules, Verdict};
 use crate::membership_poll::MembershipPoll;
 use crate::player::{FrontFinder, PlayerBehavior, PlayerPool};
@@ -106,7 +106,7 @@
     uses_other_build: Vec<bool>,
     started_at: Time,
     /// The fronts' hosts; `None` where the case has no power losses.
-    hosts: Option<Hosts>,
+    hosts: Option<SimulatedHosts>,
     players: Arc<PlayerPool>,
 }
 
@@ -270,7 +270,12 @@
         let fronts = plan.fronts as usize;
         let network = PeerNetwork::start(fronts, plan.seed)?;
         let hosts = if case.needs_disks() {
-            Some(Hosts::new(&plan.dir, plan.memory, plan.seed, fronts)?)
+            Some(SimulatedHosts::new(
+                &plan.dir,
+                plan.memory,
+                plan.seed,
+                fronts,
+            )?)
         } else {
             None
         };
--- a/crates/testbed/src/fleet/cost.rs
+++ b/crates/testbed/src/fleet/cost.rs
@@ -17,8 +17,8 @@
 }
 
 impl Cost {
-    /// Must be called after all fronts have ended, because the processor time is that of the child processes of this process that
-    /// were waited for.
+    /// Must be called after all fronts have ended, because the processor time is that of the child processes that this process
+    /// has waited for.
     pub(super) fn of(records: &[Record]) -> Cost {
         let mut times = answer_times(records);
         times.sort_unstable();
--- a/crates/testbed/src/fleet/power.rs
+++ b/crates/testbed/src/fleet/power.rs
@@ -57,8 +57,8 @@
         self.players.on_power_loss();
         if let Some(hosts) = &mut self.hosts {
             hosts.power_off_fronts(fronts)?;
-            // The servers lose power some microseconds before the fronts, as in a real power loss. A front that runs on for that
-            // time sees its connections to the servers break.
+            // The servers lose power some microseconds before the fronts, as in a real power loss. A front that runs on for
+            // that time sees its connections to the servers break.
             hosts.power_off_servers(&self.backend.fleet, servers);
         }
         if list {
--- a/crates/testbed/src/host_faults.rs
+++ b/crates/testbed/src/host_faults.rs
@@ -29,7 +29,7 @@
 }
 
 /// The fronts' hosts in a case with power losses. Fronts are numbered from 0.
-pub(crate) struct Hosts {
+pub(crate) struct SimulatedHosts {
     dir: PathBuf,
     key: PathBuf,
     memory: Memory,
@@ -40,9 +40,14 @@
     restarted_servers: usize,
 }
 
-impl Hosts {
-    pub(crate) fn new(dir: &Path, memory: Memory, seed: u64, fronts: usize) -> io::Result<Hosts> {
-        let hosts = Hosts {
+impl SimulatedHosts {
+    pub(crate) fn new(
+        dir: &Path,
+        memory: Memory,
+        seed: u64,
+        fronts: usize,
+    ) -> io::Result<SimulatedHosts> {
+        let hosts = SimulatedHosts {
             dir: dir.to_owned(),
             key: write_key(dir)?,
             memory,
@@ -51,8 +56,8 @@
             restarted_servers: 0,
         };
         for front in 0..fronts {
-            // With the same seed players use the same idempotency keys as in an earlier run, and a store of that run would have
-            // them as used.
+            // With the same seed players use the same idempotency keys as in an earlier run, and the store of that run has
+            // recorded them as used.
             remove_if_exists(&hosts.store(front))?;
             remove_if_exists(&hosts.copy_dir(front))?;
             hosts.write_boot_file(front)?;
@@ -167,9 +172,9 @@
     }
 
     /// Minimum time, in nanoseconds, in which the servers that lost power can accept this number of sessions after their
-    /// restart. It is a lower bound for any front, because it assumes that each server accepts set-ups at the highest rate that does not
-    /// overload it. Servers that kept power are assumed to accept their sessions at once. `None` where the sum exceeds its
-    /// maximum number of steps.
+    /// restart. It is a lower bound for any front, because it assumes that each server accepts set-ups at the highest rate that
+    /// does not overload it. Servers that kept power are assumed to accept their sessions at once. `None` where the time is
+    /// longer than [`MAX_WARM_UP_STEPS`].
     pub(crate) fn min_warm_up_time(&self, config: &Config, sessions: f64) -> Option<u64> {
         let settings = &config.settings;
         let duration = settings.slow_start_duration as f64;
--- a/crates/testbed/src/invariant_checker/mod.rs
+++ b/crates/testbed/src/invariant_checker/mod.rs
@@ -1,9 +1,9 @@
 //! Checks the six rules that fronts must keep. The only evidence is the traffic that simulated servers, the list service and
 //! players recorded at their sockets; a front's own reports are never used.
 //!
-//! Each rule has a module of its own. An event is recorded when its receiver reads it, so a record can be up to
-//! [`Rules::tolerance`] later than the event. A front whose process was stopped is excused for late actions, but not for
-//! wrong ones.
+//! Each rule has a module of its own. Simulated servers and players record an event when they read it from the socket, so a
+//! record can be up to [`Rules::tolerance`] later than the event. A front whose process was stopped is excused for late
+//! actions, but not for wrong ones.
 mod at_most_once;
 mod class_limits;
 mod drain;
--- a/crates/testbed/src/player/attempt.rs
+++ b/crates/testbed/src/player/attempt.rs
@@ -18,7 +18,8 @@
 pub(super) enum AttemptResult {
     /// The player watched for its whole time.
     Watched,
-    /// The attempt was rejected or failed, and the player may return.
+    /// The attempt was rejected or failed, its front could not be reached, or the front ended the session. The player may
+    /// return.
     MayReturn {
         /// The front's Retry-After, where it sent one.
         retry_after: Option<Duration>,
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -43,7 +43,7 @@
 /// The kind of a fault, with its parameters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// Servers accept set-ups but never answer.
+    /// Servers accept set-ups but don't answer them.
     Hang,
     /// Servers answer this fraction of the set-ups with an immediate error.
     FastErrors(f64),
--- a/crates/testbed/src/udp_proxy.rs
+++ b/crates/testbed/src/udp_proxy.rs
@@ -22,7 +22,7 @@
 use std::sync::{Arc, Mutex, PoisonError, Weak};
 
 /// Maximum number of epoll events, and of datagrams of one socket, that are handled in one step.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// Maximum size of a datagram, bytes.
 const MAX_DATAGRAM: usize = 2048;
 /// Maximum wait for a datagram, nanoseconds. Queued changes are applied after each wait.
@@ -65,7 +65,9 @@
 /// A handle on the network between the fronts.
 #[derive(Clone)]
 pub struct PeerNetwork {
+    /// Number of fronts.
     size: usize,
+    /// Addresses of the sockets of the proxy, with the indexes of [`Sockets`].
     addresses: Vec<Option<SocketAddr>>,
     changes: Arc<Changes>,
     sent: Arc<Vec<SentCounts>>,
@@ -244,7 +246,7 @@
 
     /// Waits for at most `wait` nanoseconds. Returns the indexes of the sockets that can be read.
     fn wait_for_events(&self, wait: u64) -> io::Result<Vec<usize>> {
-        let mut events = Vec::with_capacity(BATCH);
+        let mut events = Vec::with_capacity(MAX_BATCH);
         let timeout = Timespec {
             tv_sec: 0,
             tv_nsec: wait as _,
@@ -258,11 +260,11 @@
         Ok(indexes.collect())
     }
 
-    /// Reads the datagrams that one front has sent to another. Errors are ignored, because they come from an earlier delivery to
-    /// a front that does not listen.
+    /// Reads the datagrams that one front has sent to another. Errors are ignored, because they come from an earlier delivery
+    /// to a front that does not listen.
     fn read(&mut self, index: usize) {
         let mut buffer = [0u8; MAX_DATAGRAM];
-        for _ in 0..BATCH {
+        for _ in 0..MAX_BATCH {
             let Some(socket) = &self.sockets[index] else {
                 return;
             };
--- a/crates/testbed/tests/breaches.rs
+++ b/crates/testbed/tests/breaches.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// A time on the clock of the tests. Records have times in milliseconds after its start.
+/// The time `ms` milliseconds after the start of the records.
 fn time(ms: u64) -> Time {
     Time::ZERO + 1000 * SECOND + Duration::from_millis(ms)
 }
@@ -374,10 +374,10 @@
     );
 }
 
+/// The full rate of the server is 20 streams in 10 s, so 2 a second. Its slow start begins with half of that, and the overload
+/// multiple is 2. The server therefore accepts 2 set-ups a second and one more.
 #[test]
 fn a_server_overloaded_in_its_slow_start_is_found() {
-    // The full rate is 20 streams in 10 s, so 2 a second. The slow start begins with half of that, and the overload multiple
-    // is 2. The server therefore accepts 2 set-ups a second and one more.
     let start = at(
         0,
         Seen::Started {
