--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A front's process must end within its configured drain time and this time.
+/// A front's process must end within its configured drain time plus this grace.
 const PROCESS_END_GRACE: Duration = Duration::from_secs(5);
 
 /// The configuration of a front that is to start.
--- a/crates/testbed/src/scenario_runner/mod.rs
+++ b/crates/testbed/src/scenario_runner/mod.rs
@@ -42,7 +42,7 @@
 const REPORT_SETTLE_SECONDS: u32 = 15;
 /// Timeout of one request for a traffic report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
-/// A front's process must end within its configured drain time and this time.
+/// A front's process must end within its configured drain time plus this grace.
 const PROCESS_END_GRACE: Duration = Duration::from_secs(5);
 /// Time between two probes of fronts that know each other, as a value of their configuration.
 const PROBE_INTERVAL: &str = "1s";
--- a/crates/testbed/src/wind_down.rs
+++ b/crates/testbed/src/wind_down.rs
@@ -5,7 +5,7 @@
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// A front must end sessions without a viewer within the resume window and this time.
+/// A front must end sessions without a viewer within the resume window plus this grace.
 const SESSION_END_GRACE: Duration = Duration::from_secs(5);
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
