--- a/crates/fault-simulation/build.rs
+++ b/crates/fault-simulation/build.rs
@@ -1,4 +1,5 @@
-//! Compiles the schema without protoc: descriptors for the text format, types for the checked form.
+//! Compiles `proto/case.proto` without an installed protoc. The descriptors are needed to read the text format, and the
+//! generated types hold what was read.
 use prost::Message;
 use std::{env, fs, path::PathBuf};
 
--- a/crates/fault-simulation/examples/foca.rs
+++ b/crates/fault-simulation/examples/foca.rs
@@ -1,11 +1,13 @@
-//! The registry crate `foca` on the same simulated network and in the same cases as the project's own membership, for comparison:
-//! `cargo run --release -p crankpaddle-fault-simulation --example foca -- CASE FRONTS SEED`. It has its own configuration for a local
-//! network, but members that are down are announced to every 2 s as ours are (65 s there). It has no local health, no gossip
-//! state and no state for members that left; claims on these don't hold for that reason alone.
+//! Runs the registry crate `foca` on the same simulated network and in the same cases as the project's own membership, to
+//! compare the two: `cargo run --release -p crankpaddle-fault-simulation --example foca -- CASE FRONTS SEED`.
+//!
+//! `foca` runs with its own configuration for a local network (`Config::new_lan`), with one change: it announces itself to
+//! members that are down every 2 s, as the project's membership does, instead of every 65 s. It has no local health, no gossip
+//! state and no state for members that left, so claims about these can't hold.
 use crankpaddle_fault_simulation::{
     front_name, parse, play, ActionError, Case, EntryAge, EventQueue, HostAction, Link,
     MemberTransition, NetworkConditions, ProcessState, SentCounts, SimulatedProcesses, CASES,
-    START_OF_TIME, USUAL_DELAY,
+    DEFAULT_DELAY, SIMULATION_START,
 };
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::Time;
@@ -19,9 +21,10 @@
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-/// Time between two attempts to join through the seeds.
+/// Time between two attempts of a process to join through the seeds.
 const JOIN_INTERVAL: Duration = Duration::from_secs(2);
-/// Incarnations of a restarted process are this far apart: `foca` itself raises them by one.
+/// Distance between the incarnations of two starts of processes. `foca` itself increments an incarnation by one when a process
+/// that was declared down rejoins, so a larger step keeps restarts distinct.
 const INCARNATION_STEP: u64 = 1000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,12 +58,12 @@
     member: Member,
     process: ProcessState<Vec<u8>>,
     incarnation: u64,
-    overdue_timers: Vec<Timer<Id>>, // Timers that expired while it was paused.
+    overdue_timers: Vec<Timer<Id>>, // Timers that expired while the process was paused.
     views: Vec<Option<View>>,
     sent: SentCounts,
 }
 
-/// What a member knows of another.
+/// The state and the incarnation in which a member sees another.
 #[derive(Clone, Copy)]
 struct View {
     state: MemberState,
@@ -95,7 +98,7 @@
 }
 
 fn member(fronts: usize, number: usize, incarnation: u64, seed: u64) -> Member {
-    let size = NonZeroU32::new(fronts as u32).expect("fronts");
+    let size = NonZeroU32::new(fronts as u32).expect("a fleet has at least one front");
     let config = Config {
         periodic_announce_to_down_members: Some(PeriodicParams {
             frequency: Duration::from_secs(2),
@@ -113,10 +116,10 @@
 impl FocaNetwork {
     fn for_case(case: &Case, fronts: usize, seed: u64) -> FocaNetwork {
         let mut network = FocaNetwork {
-            now: START_OF_TIME,
+            now: SIMULATION_START,
             nodes: Vec::new(),
             seeds: case.seeds.of(fronts),
-            conditions: NetworkConditions::good(USUAL_DELAY),
+            conditions: NetworkConditions::good(DEFAULT_DELAY),
             queue: EventQueue::default(),
             rng: oorandom::Rand64::new(u128::from(seed)),
             transitions: Vec::new(),
@@ -155,8 +158,8 @@
         self.queue.schedule(self.now, join);
     }
 
-    /// Calls a member's state machine, and carries out its outputs. Datagrams that it rejects (of previous incarnations, or of
-    /// itself) are dropped.
+    /// Calls a member's state machine and carries out its outputs. The result of the call is ignored, so that datagrams which
+    /// the member rejects (from previous incarnations, or from itself) are dropped.
     fn with_member<T>(
         &mut self,
         number: usize,
@@ -257,7 +260,8 @@
         }
     }
 
-    /// Announces a process to the seeds until one of them answers, as any program that uses the crate would.
+    /// Announces a process to the seeds, and again after an interval until it knows another member, as any program that uses
+    /// the crate has to do.
     fn join(&mut self, number: usize, incarnation: u64) {
         let node = &self.nodes[number];
         let is_current = node.process.is_running() && node.incarnation == incarnation;
@@ -274,11 +278,11 @@
             };
             self.with_member(number, |member, runtime| member.announce(to, runtime));
         }
-        let again = Event::Join {
+        let next_attempt = Event::Join {
             node: number,
             incarnation,
         };
-        self.queue.schedule(self.now + JOIN_INTERVAL, again);
+        self.queue.schedule(self.now + JOIN_INTERVAL, next_attempt);
     }
 }
 
@@ -319,14 +323,17 @@
         }
     }
 
-    fn write(&mut self, front: usize) -> Result<(), ActionError> {
-        let what = format!("{} has no board", front_name(front));
-        Err(ActionError::Unsupported(what))
+    fn write_entry(&mut self, front: usize) -> Result<(), ActionError> {
+        let message = format!(
+            "{} can't write an entry: foca has no gossip state",
+            front_name(front)
+        );
+        Err(ActionError::Unsupported(message))
     }
 
     fn act_on_hosts(&mut self, _: &HostAction) -> Result<(), ActionError> {
         Err(ActionError::Unsupported(
-            "only processes have disks".to_owned(),
+            "power, disks and servers exist only with real processes".to_owned(),
         ))
     }
 
@@ -373,19 +380,19 @@
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let wanted = args.first().map_or("deaths", String::as_str);
-    let number = |index: usize, default: u64| {
+    let case_name = args.first().map_or("deaths", String::as_str);
+    let number_arg = |index: usize, default: u64| {
         args.get(index)
             .and_then(|arg| arg.parse().ok())
             .unwrap_or(default)
     };
-    let (fronts, seed) = (number(1, 40) as usize, number(2, 1));
-    let Some((_, text)) = CASES.iter().find(|(known, _)| *known == wanted) else {
-        return eprintln!("{wanted}: no such case");
+    let (fronts, seed) = (number_arg(1, 40) as usize, number_arg(2, 1));
+    let Some((_, text)) = CASES.iter().find(|(name, _)| *name == case_name) else {
+        return eprintln!("unknown case {case_name:?}");
     };
-    let case = parse(text).expect("a built-in case");
+    let case = parse(text).expect("built-in cases are valid");
     match play(&case, &mut FocaNetwork::for_case(&case, fronts, seed)) {
-        Err(error) => eprintln!("{wanted}: {error}"),
+        Err(error) => eprintln!("{case_name}: {error}"),
         Ok(result) => {
             for claim in &result.claims {
                 println!(
@@ -396,7 +403,7 @@
                 );
             }
             let ((kept, all), sent) = (result.satisfied_claims(), result.sent);
-            println!("foca {wanted}: fronts {fronts}, claims kept {kept}/{all}, {:.1} datagrams, {:.0} bytes a second", sent.datagrams, sent.bytes);
+            println!("foca {case_name}: fronts {fronts}, claims kept {kept}/{all}, {:.1} datagrams, {:.0} bytes a second", sent.datagrams, sent.bytes);
         }
     }
 }
--- a/crates/fault-simulation/src/cluster.rs
+++ b/crates/fault-simulation/src/cluster.rs
@@ -1,36 +1,36 @@
-//! The interface of what a scenario runs on: a fleet in one process, or one of processes.
+//! The interface that a case runs on. It is implemented for a simulated fleet in one process and for a fleet of real processes.
 use crate::error::ActionError;
 use crate::scenario::Action;
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// A front's view of another changed.
+/// A change of the state in which one front sees another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberTransition {
-    /// When, by the cluster's clock.
+    /// Time of the change on the cluster's clock.
     pub at: Time,
-    /// The front whose view it is.
+    /// Number of the front whose view changed.
     pub viewer: usize,
-    /// The front that is viewed.
+    /// Number of the front that is seen in another state now.
     pub viewed: usize,
-    /// The state that it is seen in now.
+    /// The state after the change.
     pub state: MemberState,
-    /// Whether it is another incarnation than before.
+    /// Whether the viewed front has another incarnation than before, that is, whether it restarted.
     pub restarted: bool,
 }
 
-/// What is sent in a second.
+/// The rate at which a front sends to the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SendRate {
-    /// Datagrams a second.
+    /// Datagrams per second.
     pub datagrams: f64,
-    /// Bytes a second.
+    /// Bytes per second.
     pub bytes: f64,
 }
 
 impl SendRate {
-    /// The greater rate of datagrams and the greater rate of bytes, each by itself.
+    /// The maximum of both rates, each taken separately: the two results may come from different fronts.
     #[must_use]
     pub fn max(self, other: SendRate) -> SendRate {
         SendRate {
@@ -40,60 +40,62 @@
     }
 }
 
-/// Sessions that were lost with the power.
+/// What became of the viewers whose session was lost in a power failure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryProgress {
-    /// Players that watch again.
+    /// Viewers that have a session again.
     pub restored: u64,
-    /// Players that left without a session.
+    /// Viewers that left before they had a session again.
     pub left: u64,
-    /// Players that lost a session.
+    /// All viewers that lost their session, including the restored ones and those that left.
     pub lost: u64,
 }
 
-/// The age of an entry, by two clocks.
+/// The age of an entry of the gossip state, as a front computes it and as it really is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryAge {
-    /// As the reading front computes it.
+    /// The age that the reading front computes.
     pub reported: Duration,
-    /// By the cluster's clock.
+    /// The age on the cluster's clock, since the entry was written.
     pub actual: Duration,
 }
 
-/// A fleet of fronts and the network between them.
+/// A fleet of fronts, numbered from 0, and the network between them.
 pub trait Cluster {
-    /// How many fronts there are, whether they run or not.
+    /// The number of fronts, whether they run or not.
     fn fronts(&self) -> usize;
-    /// The present point in time.
+    /// The current time on the cluster's clock.
     fn now(&self) -> Time;
-    /// Lets time pass.
+    /// Lets this much time pass: on the virtual clock, or by waiting.
     fn run(&mut self, time: Duration);
-    /// Carries out an action.
+    /// Carries out an action on the fronts, their hosts or the network.
     ///
     /// # Errors
-    /// This cluster can't carry it out.
+    /// This cluster doesn't support the action, or the action failed.
     fn act(&mut self, action: &Action) -> Result<(), ActionError>;
-    /// The state that one front sees another in; `None`: it does not know it, or was not asked yet.
+    /// The state in which one front sees another. `None` if it doesn't know the other front, or if its view was not read yet.
     fn state(&self, viewer: usize, viewed: usize) -> Option<MemberState>;
-    /// A front's own health.
+    /// A front's estimate of how well it is connected. `None` if it has none, or if it was not read yet.
     fn local_health(&self, front: usize) -> Option<LocalHealth>;
-    /// The transitions from a time on, in order.
+    /// All changes of views at or after a time, in chronological order.
     fn transitions(&self, from: Time) -> Vec<MemberTransition>;
-    /// The age of the entry that was written last, as one front knows it; `None`: it does not.
+    /// The age of the gossip entry that was written last, as one front knows it. `None` if that front doesn't have the entry.
     fn entry_age(&self, reader: usize) -> Option<EntryAge>;
-    /// The highest rate of one front, averaged over the complete run.
+    /// The highest send rate of any front, where each rate is the average since the start of the run.
     fn sent(&self) -> SendRate;
-    /// Sessions lost when the power failed (of paid classes, or of all). `None`: there are no sessions here.
+    /// Counts the viewers that lost their session in a power failure: of paid classes only, or of all classes. `None` if the
+    /// cluster has no sessions.
     fn recovery_progress(&self, _paid: bool) -> Option<RecoveryProgress> {
         None
     }
-    /// The time that servers whose power failed need to take so many sessions, if only their slow start limits it.
+    /// The time that the servers whose power failed need to accept this many sessions, if only their slow start limits them.
+    /// `None` if the cluster has no servers, or if the time can't be computed from their configuration.
     fn warm_up_time(&self, _sessions: f64) -> Option<Duration> {
         None
     }
 }
 
-/// Whether each viewer sees each viewed front (except itself) in this state.
+/// Whether each of the viewers sees each of the viewed fronts, except itself, in this state.
 pub fn all_see<C: Cluster + ?Sized>(
     cluster: &C,
     viewers: &[usize],
--- a/crates/fault-simulation/src/event_queue.rs
+++ b/crates/fault-simulation/src/event_queue.rs
@@ -1,29 +1,30 @@
-//! The queue of a simulation in virtual time.
+//! The event queue of a discrete-event simulation.
 use crankpaddle_time::Time;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Events ordered by time; events of the same time keep the order in which they were scheduled.
+/// A queue of events ordered by time. Events of the same time keep the order in which they were scheduled, so that a run can be
+/// repeated exactly.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Scheduled<E>>>,
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
 struct Scheduled<E> {
     at: Time,
-    number: u64,
+    sequence_number: u64,
     event: E,
 }
 
 impl<E> Scheduled<E> {
-    fn order(&self) -> (Time, u64) {
-        (self.at, self.number)
+    fn sort_key(&self) -> (Time, u64) {
+        (self.at, self.sequence_number)
     }
 }
 
 impl<E> PartialEq for Scheduled<E> {
     fn eq(&self, other: &Scheduled<E>) -> bool {
-        self.order() == other.order()
+        self.sort_key() == other.sort_key()
     }
 }
 
@@ -37,7 +38,7 @@
 
 impl<E> Ord for Scheduled<E> {
     fn cmp(&self, other: &Scheduled<E>) -> Ordering {
-        self.order().cmp(&other.order())
+        self.sort_key().cmp(&other.sort_key())
     }
 }
 
@@ -45,23 +46,23 @@
     fn default() -> EventQueue<E> {
         EventQueue {
             heap: BinaryHeap::new(),
-            scheduled: 0,
+            scheduled_count: 0,
         }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// Schedules an event at a time.
+    /// Adds an event that happens at a time.
     pub fn schedule(&mut self, at: Time, event: E) {
-        self.scheduled += 1;
+        self.scheduled_count += 1;
         self.heap.push(Reverse(Scheduled {
             at,
-            number: self.scheduled,
+            sequence_number: self.scheduled_count,
             event,
         }));
     }
 
-    /// Takes the first event if its time is not after `until`.
+    /// Removes the earliest event and returns it with its time, unless it is later than `until` or the queue is empty.
     pub fn pop_until(&mut self, until: Time) -> Option<(Time, E)> {
         let Reverse(first) = self.heap.peek()?;
         if first.at > until {
--- a/crates/fault-simulation/src/network_conditions.rs
+++ b/crates/fault-simulation/src/network_conditions.rs
@@ -1,5 +1,5 @@
-//! What a network does to datagrams: which are lost, duplicated, delayed or cut off. The same for a network in memory and for one
-//! of sockets.
+//! A model of network faults: which datagrams are lost, duplicated, delayed or blocked. The simulated network in memory and the
+//! proxy between real sockets both use it.
 #[cfg(test)]
 mod tests;
 
@@ -9,63 +9,69 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A datagram that would wait longer than this for a link with a bandwidth is dropped.
+/// Longest time that a datagram waits in the queue of a link with limited bandwidth; one that would wait longer is dropped.
 const MAX_QUEUEING: Duration = Duration::from_secs(1);
 
-/// Whether datagrams on a link pass now.
+/// Returns whether datagrams pass on a link; the others are dropped.
 pub type LinkFilter = Box<dyn Fn(Link) -> bool + Send>;
 
-/// One direction between two fronts.
+/// One direction between two fronts, which are identified by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Link {
-    /// The sending front.
+    /// Number of the sending front.
     pub from: usize,
-    /// The receiving front.
+    /// Number of the receiving front.
     pub to: usize,
 }
 
-/// The conditions of a network.
+/// The faults of a network and its delay and bandwidth, at the current time of a case.
 pub struct NetworkConditions {
-    /// Part of the datagrams that is lost.
+    /// Probability from 0 to 1 that a datagram is lost.
     pub loss: f64,
-    /// Part that arrives twice.
+    /// Probability from 0 to 1 that a datagram which is not lost arrives twice.
     pub duplicated: f64,
-    /// Transit time.
+    /// Range from which the transit time of each datagram is drawn.
     pub delay: DelayRange,
-    /// Bytes a second from one front to another; infinite: no limit.
+    /// Bandwidth of each link, in bytes per second; infinite if there is no limit.
     pub bandwidth: f64,
-    /// Whether datagrams on a link pass now.
+    /// Decides whether datagrams pass on a link; set by partitions, or directly by tests.
     pub link_filter: LinkFilter,
-    /// Copies that arrive of each datagram of a front; one of the others'.
+    /// Number of copies that are sent of each datagram of a front, by the front's number; 1 for fronts that are not listed.
     pub floods: HashMap<usize, u32>,
-    cuts: Vec<Cut>,
-    busy_until: HashMap<Link, Time>, // Of links with a bandwidth.
+    blocked_links: Vec<BlockedLinks>,
+    busy_until: HashMap<Link, Time>, // Only links with limited bandwidth have an entry.
 }
 
-/// A set of links on which nothing passes: from each of some fronts to each of others.
+/// A set of links on which all datagrams are dropped: those from each front of one set to each front of another.
 #[derive(Clone)]
-struct Cut {
-    from: Vec<bool>, // By the number of the front.
-    to: Vec<bool>,
+struct BlockedLinks {
+    // Both vectors are indexed by the number of the front.
+    is_sender: Vec<bool>,
+    is_receiver: Vec<bool>,
 }
 
-impl Cut {
-    fn new(from: &Fronts, to: &Fronts, fleet: usize) -> Cut {
-        let members = |fronts: &Fronts| (0..fleet).map(|i| fronts.has(i, fleet)).collect();
-        Cut {
-            from: members(from),
-            to: members(to),
+impl BlockedLinks {
+    fn new(from: &Fronts, to: &Fronts, fleet_size: usize) -> BlockedLinks {
+        let membership = |fronts: &Fronts| {
+            (0..fleet_size)
+                .map(|i| fronts.contains(i, fleet_size))
+                .collect()
+        };
+        BlockedLinks {
+            is_sender: membership(from),
+            is_receiver: membership(to),
         }
     }
 
     fn blocks(&self, link: Link) -> bool {
-        let has = |members: &[bool], front: usize| members.get(front).copied().unwrap_or(false);
-        has(&self.from, link.from) && has(&self.to, link.to)
+        let contains =
+            |members: &[bool], front: usize| members.get(front).copied().unwrap_or(false);
+        contains(&self.is_sender, link.from) && contains(&self.is_receiver, link.to)
     }
 }
 
 impl NetworkConditions {
-    /// A network without faults.
+    /// A network without faults, limits or partitions, with transit times from this range.
     #[must_use]
     pub fn good(delay: DelayRange) -> NetworkConditions {
         NetworkConditions {
@@ -75,14 +81,14 @@
             bandwidth: f64::INFINITY,
             link_filter: Box::new(|_| true),
             floods: HashMap::new(),
-            cuts: Vec::new(),
+            blocked_links: Vec::new(),
             busy_until: HashMap::new(),
         }
     }
 
-    /// Carries out an action on the network between so many fronts; other actions are ignored. `usual`: the transit time where
-    /// the scenario states none.
-    pub fn act(&mut self, action: &Action, fleet: usize, usual: DelayRange) {
+    /// Carries out an action on the network between `fleet_size` fronts; actions on fronts and hosts are ignored.
+    /// `default_delay` is the transit time if the case states none.
+    pub fn act(&mut self, action: &Action, fleet_size: usize, default_delay: DelayRange) {
         match action {
             Action::SetNetwork {
                 loss,
@@ -93,26 +99,29 @@
                 self.loss = *loss;
                 self.duplicated = *duplicated;
                 self.bandwidth = *bandwidth;
-                self.delay = delay.unwrap_or(usual);
+                self.delay = delay.unwrap_or(default_delay);
             }
             Action::Partition {
                 from,
                 to,
                 both_ways,
             } => {
-                self.cuts.push(Cut::new(from, to, fleet));
+                self.blocked_links
+                    .push(BlockedLinks::new(from, to, fleet_size));
                 if *both_ways {
-                    self.cuts.push(Cut::new(to, from, fleet));
+                    self.blocked_links
+                        .push(BlockedLinks::new(to, from, fleet_size));
                 }
-                let cuts = self.cuts.clone();
-                self.link_filter = Box::new(move |link| !cuts.iter().any(|cut| cut.blocks(link)));
+                let blocked_links = self.blocked_links.clone();
+                self.link_filter =
+                    Box::new(move |link| !blocked_links.iter().any(|blocked| blocked.blocks(link)));
             }
             Action::Heal => {
-                self.cuts.clear();
+                self.blocked_links.clear();
                 self.link_filter = Box::new(|_| true);
             }
             Action::Flood { fronts, copies } => {
-                for front in fronts.of(fleet) {
+                for front in fronts.of(fleet_size) {
                     self.floods.insert(front, *copies);
                 }
             }
@@ -120,7 +129,7 @@
         }
     }
 
-    /// When the copies of a datagram arrive; none where it is lost.
+    /// Returns the arrival time of each copy of a datagram; empty if the datagram is lost, blocked or dropped by a full queue.
     pub fn arrivals(
         &mut self,
         now: Time,
@@ -149,18 +158,18 @@
         arrivals
     }
 
-    /// When a datagram has passed the link's bandwidth; `None` if its queue is full.
+    /// Returns the time at which a datagram is completely sent at the link's bandwidth; `None` if the link's queue is full.
     fn departure(&mut self, now: Time, link: Link, bytes: usize) -> Option<Time> {
         if self.bandwidth.is_infinite() {
             return Some(now);
         }
         let busy_until = self.busy_until.entry(link).or_insert(now);
-        let begins = (*busy_until).max(now);
-        if begins.duration_since(now) > MAX_QUEUEING {
+        let starts_at = (*busy_until).max(now);
+        if starts_at.duration_since(now) > MAX_QUEUEING {
             return None;
         }
-        let transmission = bytes as f64 / self.bandwidth * NANOSECONDS_PER_SECOND;
-        *busy_until = begins + Duration::from_nanos(transmission as u64);
+        let transmission_ns = bytes as f64 / self.bandwidth * NANOSECONDS_PER_SECOND;
+        *busy_until = starts_at + Duration::from_nanos(transmission_ns as u64);
         Some(*busy_until)
     }
 }
--- a/crates/fault-simulation/src/network_conditions/tests.rs
+++ b/crates/fault-simulation/src/network_conditions/tests.rs
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn a_link_at_its_bandwidth_queues_then_drops_and_another_link_is_free() {
+fn a_link_at_its_bandwidth_queues_then_drops_without_affecting_other_links() {
     let mut rng = oorandom::Rand64::new(1);
     let mut conditions = NetworkConditions {
         bandwidth: 1000.0,
@@ -38,22 +38,22 @@
 }
 
 #[test]
-fn datagrams_are_lost_and_duplicated_and_a_flood_arrives_many_times() {
+fn datagrams_are_lost_duplicated_flooded_and_filtered_as_configured() {
     let mut rng = oorandom::Rand64::new(1);
     let mut conditions = NetworkConditions {
         loss: 0.3,
         duplicated: 0.5,
         ..NetworkConditions::good(SHORT_DELAY)
     };
-    let all: Vec<Time> = (0..10_000)
+    let arrivals: Vec<Time> = (0..10_000)
         .flat_map(|_| conditions.arrivals(Time(0), Link { from: 0, to: 1 }, 1, &mut rng))
         .collect();
     assert!(
-        (all.len() as f64 / 10_500.0 - 1.0).abs() < 0.05,
+        (arrivals.len() as f64 / 10_500.0 - 1.0).abs() < 0.05,
         "{}",
-        all.len()
+        arrivals.len()
     );
-    assert!(all.iter().all(|at| (Time(1)..=Time(9)).contains(at)));
+    assert!(arrivals.iter().all(|at| (Time(1)..=Time(9)).contains(at)));
     let mut conditions = NetworkConditions {
         floods: [(3, 50)].into(),
         ..NetworkConditions::good(SHORT_DELAY)
--- a/crates/fault-simulation/src/runner.rs
+++ b/crates/fault-simulation/src/runner.rs
@@ -1,32 +1,32 @@
-//! Runs a case on a cluster and checks what it claims.
+//! Runs a case on a cluster and checks its claims.
 mod checks;
 
 use crate::cluster::{Cluster, SendRate};
 use crate::error::ActionError;
-use crate::scenario::{Case, Step};
+use crate::scenario::{Case, CaseStep};
 
-/// A checked claim.
+/// The result of one checked claim.
 #[derive(Clone, Debug)]
 pub struct ClaimResult {
-    /// What is claimed, with its bound.
+    /// The text of the claim, with its time limit if it has one.
     pub claim: String,
-    /// What was measured.
+    /// The measurement as text, for example the time after which the claim held.
     pub measured: String,
-    /// Whether the claim holds.
+    /// Whether the measurement is within the claim's limits.
     pub holds: bool,
 }
 
 /// The result of a case.
 #[derive(Clone, Debug)]
 pub struct CaseResult {
-    /// Its claims.
+    /// The results of the claims, in the order in which they were checked.
     pub claims: Vec<ClaimResult>,
-    /// The highest rate of one front, averaged over the complete case.
+    /// The highest send rate of any front, where each rate is the average over the whole case.
     pub sent: SendRate,
 }
 
 impl CaseResult {
-    /// How many claims hold, and how many there are.
+    /// The number of claims that hold, and the number of all claims.
     #[must_use]
     pub fn satisfied_claims(&self) -> (usize, usize) {
         let satisfied = self.claims.iter().filter(|claim| claim.holds).count();
@@ -34,20 +34,20 @@
     }
 }
 
-/// Runs a case to its end, also where a claim does not hold.
+/// Runs all steps of a case on a cluster; a claim that doesn't hold does not end the run.
 ///
 /// # Errors
-/// A step can't be carried out on this cluster.
+/// An action of the case can't be carried out on this cluster.
 pub fn play<C: Cluster + ?Sized>(case: &Case, cluster: &mut C) -> Result<CaseResult, ActionError> {
     let mut claims = Vec::new();
-    let mut mark = cluster.now();
+    let mut measured_since = cluster.now();
     for step in &case.steps {
         match step {
-            Step::Action(action) => cluster.act(action)?,
-            Step::Run(time) => cluster.run(*time),
-            Step::Mark => mark = cluster.now(),
-            Step::Claim { name, claim } => {
-                claims.push(checks::check(name, claim, mark, cluster));
+            CaseStep::Action(action) => cluster.act(action)?,
+            CaseStep::Run(time) => cluster.run(*time),
+            CaseStep::BeginMeasurement => measured_since = cluster.now(),
+            CaseStep::Claim { name, claim } => {
+                claims.push(checks::check(name, claim, measured_since, cluster));
             }
         }
     }
--- a/crates/fault-simulation/src/runner/checks.rs
+++ b/crates/fault-simulation/src/runner/checks.rs
@@ -1,85 +1,95 @@
-//! The check of each kind of claim.
+//! Checks the claims of a case against the state of the cluster, one method for each kind of claim.
 use super::ClaimResult;
 use crate::cluster::{all_see, Cluster, MemberTransition};
-use crate::scenario::{Bound, Claim, Fronts};
+use crate::scenario::{Claim, Fronts, TimeBound};
 use crate::seconds;
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::Time;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time between two looks at whether a claim holds.
+/// Time between two evaluations of a claim that doesn't hold yet.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A claim is awaited for this multiple of its bound, so that the time is known by which it is missed.
-const PATIENCE: u32 = 2;
-/// Reported where no front knows the entry.
+/// A claim is evaluated until this multiple of its time limit, so that the result shows by how much a claim missed its limit.
+const WAIT_FACTOR: u32 = 2;
+/// The age error that is reported if no front has the entry: larger than any limit, so that the claim fails.
 const UNKNOWN_AGE_ERROR: Duration = Duration::from_nanos(u64::MAX);
 
-/// Checks a claim; time passes until it holds. `mark`: the time from which accusations and restarts count.
+/// Checks a claim; lets time pass until the claim holds or the wait for it ends. Accusations, restarts and recovered sessions
+/// count from `measured_since` on.
 pub(super) fn check<C: Cluster + ?Sized>(
     name: &str,
     claim: &Claim,
-    mark: Time,
+    measured_since: Time,
     cluster: &mut C,
 ) -> ClaimResult {
-    let mut check = Check {
+    let mut check = ClaimCheck {
         name,
-        mark,
-        fleet: cluster.fronts(),
+        measured_since,
+        fleet_size: cluster.fronts(),
         cluster,
     };
     match claim {
-        Claim::See {
+        Claim::MembersSeenAs {
             viewers,
             viewed,
             state,
             bound,
-        } => check.see(viewers, viewed, *state, *bound),
-        Claim::Accused {
+        } => check.members_seen_as(viewers, viewed, *state, *bound),
+        Claim::FalseAccusations {
             accusers,
             except,
-            allowed,
-            allowed_per_front,
-        } => check.accused(accusers, except, *allowed, *allowed_per_front),
+            max_accusations,
+            max_accusations_per_front,
+        } => check.false_accusations(
+            accusers,
+            except,
+            *max_accusations,
+            *max_accusations_per_front,
+        ),
         Claim::LocalHealth {
             fronts,
             health,
             bound,
         } => check.local_health(fronts, *health, *bound),
-        Claim::Restarted {
+        Claim::RestartsSeen {
             viewers,
             restarted,
             bound,
-        } => check.restarted(viewers, restarted, *bound),
-        Claim::Recovered { paid, part, bound } => check.recovered(*paid, *part, *bound),
+        } => check.restarts_seen(viewers, restarted, *bound),
+        Claim::SessionsRecovered {
+            paid,
+            min_fraction,
+            bound,
+        } => check.sessions_recovered(*paid, *min_fraction, *bound),
         Claim::EntryKnown {
-            part,
+            min_fraction,
             bound,
             max_age_error,
-        } => check.entry_known(*part, *bound, *max_age_error),
+        } => check.entry_known(*min_fraction, *bound, *max_age_error),
     }
 }
 
-struct Check<'a, C: ?Sized> {
+struct ClaimCheck<'a, C: ?Sized> {
     name: &'a str,
-    mark: Time,
-    fleet: usize,
+    measured_since: Time,
+    fleet_size: usize,
     cluster: &'a mut C,
 }
 
-impl<C: Cluster + ?Sized> Check<'_, C> {
-    fn see(
+impl<C: Cluster + ?Sized> ClaimCheck<'_, C> {
+    fn members_seen_as(
         &mut self,
         viewers: &Fronts,
         viewed: &Fronts,
         state: MemberState,
-        bound: Bound,
+        bound: TimeBound,
     ) -> ClaimResult {
-        let viewers = viewers.of(self.fleet);
-        let viewed = viewed.of(self.fleet);
+        let viewers = viewers.of(self.fleet_size);
+        let viewed = viewed.of(self.fleet_size);
         let from = self.cluster.now();
-        let took = self.wait_until(bound, |cluster| all_see(cluster, &viewers, &viewed, state));
-        let counts = |transition: &MemberTransition| {
+        let elapsed = self.wait_until(bound, |cluster| all_see(cluster, &viewers, &viewed, state));
+        let is_relevant = |transition: &MemberTransition| {
             transition.state == state
                 && viewers.contains(&transition.viewer)
                 && viewed.contains(&transition.viewed)
@@ -87,50 +97,61 @@
         let median = if state == MemberState::Alive {
             String::new()
         } else {
-            median_time(&self.cluster.transitions(from), from, counts)
+            median_time(&self.cluster.transitions(from), from, is_relevant)
         };
-        self.timed_result(bound, took, &median)
+        self.timed_result(bound, elapsed, &median)
     }
 
-    fn accused(
+    fn false_accusations(
         &self,
         accusers: &Fronts,
         except: &Fronts,
-        allowed: u32,
-        allowed_per_front: f64,
+        max_accusations: u32,
+        max_accusations_per_front: f64,
     ) -> ClaimResult {
         let is_false_accusation = |transition: &&MemberTransition| {
             transition.state == MemberState::Dead
-                && accusers.has(transition.viewer, self.fleet)
-                && !except.has(transition.viewed, self.fleet)
+                && accusers.contains(transition.viewer, self.fleet_size)
+                && !except.contains(transition.viewed, self.fleet_size)
         };
-        let transitions = self.cluster.transitions(self.mark);
+        let transitions = self.cluster.transitions(self.measured_since);
         let count = transitions.iter().filter(is_false_accusation).count();
-        let allowed = f64::from(allowed) + allowed_per_front * self.fleet as f64;
+        let max_accusations =
+            f64::from(max_accusations) + max_accusations_per_front * self.fleet_size as f64;
         ClaimResult {
             claim: self.name.to_owned(),
             measured: format!("{count} accusations"),
-            holds: count as f64 <= allowed,
+            holds: count as f64 <= max_accusations,
         }
     }
 
-    fn local_health(&mut self, fronts: &Fronts, health: LocalHealth, bound: Bound) -> ClaimResult {
-        let fronts = fronts.of(self.fleet);
-        let took = self.wait_until(bound, |cluster| {
+    fn local_health(
+        &mut self,
+        fronts: &Fronts,
+        health: LocalHealth,
+        bound: TimeBound,
+    ) -> ClaimResult {
+        let fronts = fronts.of(self.fleet_size);
+        let elapsed = self.wait_until(bound, |cluster| {
             fronts
                 .iter()
                 .all(|front| cluster.local_health(*front) == Some(health))
         });
-        self.timed_result(bound, took, "")
+        self.timed_result(bound, elapsed, "")
     }
 
-    fn restarted(&mut self, viewers: &Fronts, restarted: &Fronts, bound: Bound) -> ClaimResult {
-        let viewers = viewers.of(self.fleet);
-        let restarted = restarted.of(self.fleet);
-        let mark = self.mark;
-        let took = self.wait_until(bound, |cluster| {
+    fn restarts_seen(
+        &mut self,
+        viewers: &Fronts,
+        restarted: &Fronts,
+        bound: TimeBound,
+    ) -> ClaimResult {
+        let viewers = viewers.of(self.fleet_size);
+        let restarted = restarted.of(self.fleet_size);
+        let measured_since = self.measured_since;
+        let elapsed = self.wait_until(bound, |cluster| {
             let seen: BTreeSet<(usize, usize)> = cluster
-                .transitions(mark)
+                .transitions(measured_since)
                 .iter()
                 .filter(|transition| transition.restarted)
                 .map(|transition| (transition.viewer, transition.viewed))
@@ -141,17 +162,22 @@
                     .all(|restarted| seen.contains(&(*viewer, *restarted)))
             })
         });
-        self.timed_result(bound, took, "")
+        self.timed_result(bound, elapsed, "")
     }
 
-    fn recovered(&mut self, paid: bool, part: f64, bound: Bound) -> ClaimResult {
-        let reached = self.wait_until(bound, |cluster| {
+    fn sessions_recovered(
+        &mut self,
+        paid: bool,
+        min_fraction: f64,
+        bound: TimeBound,
+    ) -> ClaimResult {
+        let waited = self.wait_until(bound, |cluster| {
             let progress = cluster.recovery_progress(paid).unwrap_or_default();
             let settled = progress.restored + progress.left;
-            progress.lost > 0 && settled as f64 >= progress.lost as f64 * part
+            progress.lost > 0 && settled as f64 >= progress.lost as f64 * min_fraction
         });
-        // The time counts from the mark, not from the claim.
-        let took = reached.map(|_| self.cluster.now().duration_since(self.mark));
+        // The result is the time since the start of the measurement, although the wait began only at this claim.
+        let elapsed = waited.map(|_| self.cluster.now().duration_since(self.measured_since));
         let progress = self.cluster.recovery_progress(paid).unwrap_or_default();
         let warm_up = self
             .cluster
@@ -159,37 +185,42 @@
             .map(display_seconds)
             .unwrap_or_default();
         let detail = format!(
-            " ({} lost theirs, {} watch again, {} left without; servers' warming alone allows it at {warm_up})",
+            " (sessions lost: {}, restored: {}, viewers left: {}; the servers' slow start alone would take {warm_up})",
             progress.lost, progress.restored, progress.left
         );
-        self.timed_result(bound, took, &detail)
+        self.timed_result(bound, elapsed, &detail)
     }
 
-    fn entry_known(&mut self, part: f64, bound: Bound, max_age_error: Duration) -> ClaimResult {
-        let fleet = self.fleet;
-        // The first front is the one that writes.
-        let took = self.wait_until(bound, |cluster| {
-            let knowing = (1..fleet)
+    fn entry_known(
+        &mut self,
+        min_fraction: f64,
+        bound: TimeBound,
+        max_age_error: Duration,
+    ) -> ClaimResult {
+        let fleet_size = self.fleet_size;
+        // Front 0 writes the entry, so only the others are counted.
+        let elapsed = self.wait_until(bound, |cluster| {
+            let fronts_with_entry = (1..fleet_size)
                 .filter(|front| cluster.entry_age(*front).is_some())
                 .count();
-            knowing as f64 >= part * (fleet - 1) as f64
+            fronts_with_entry as f64 >= min_fraction * (fleet_size - 1) as f64
         });
-        let age_error = (1..fleet)
+        let age_error = (1..fleet_size)
             .filter_map(|front| self.cluster.entry_age(front))
             .map(|age| age.reported.abs_diff(age.actual))
             .max()
             .unwrap_or(UNKNOWN_AGE_ERROR);
-        let detail = format!(", ages off by {} ms at most", age_error.as_millis());
-        let mut result = self.timed_result(bound, took, &detail);
+        let detail = format!(", largest age error {} ms", age_error.as_millis());
+        let mut result = self.timed_result(bound, elapsed, &detail);
         result.holds &= age_error <= max_age_error;
         result
     }
 
-    /// Lets time pass until something holds; how long it took.
-    fn wait_until(&mut self, bound: Bound, holds: impl Fn(&C) -> bool) -> Option<Duration> {
-        let longest = PATIENCE * bound.of(self.fleet);
+    /// Lets time pass until a condition holds, and returns how long that took; `None` if it never held in the time allowed.
+    fn wait_until(&mut self, bound: TimeBound, holds: impl Fn(&C) -> bool) -> Option<Duration> {
+        let max_wait = WAIT_FACTOR * bound.for_fleet(self.fleet_size);
         let started = self.cluster.now();
-        while self.cluster.now().duration_since(started) <= longest {
+        while self.cluster.now().duration_since(started) <= max_wait {
             if holds(self.cluster) {
                 return Some(self.cluster.now().duration_since(started));
             }
@@ -198,13 +229,18 @@
         None
     }
 
-    fn timed_result(&self, bound: Bound, took: Option<Duration>, detail: &str) -> ClaimResult {
-        let bound = bound.of(self.fleet);
-        let time = took.map_or("not at all".to_owned(), display_seconds);
+    fn timed_result(
+        &self,
+        bound: TimeBound,
+        elapsed: Option<Duration>,
+        detail: &str,
+    ) -> ClaimResult {
+        let bound = bound.for_fleet(self.fleet_size);
+        let time = elapsed.map_or("never".to_owned(), display_seconds);
         ClaimResult {
             claim: format!("{} within {}", self.name, display_seconds(bound)),
             measured: time + detail,
-            holds: took.is_some_and(|took| took <= bound),
+            holds: elapsed.is_some_and(|elapsed| elapsed <= bound),
         }
     }
 }
@@ -213,19 +249,19 @@
     format!("{:.1} s", seconds(time))
 }
 
-/// When half of the transitions that count had happened, from a time on.
+/// Describes the median time of the relevant transitions, counted from a start time; empty if there are none.
 fn median_time(
     transitions: &[MemberTransition],
     from: Time,
-    counts: impl Fn(&MemberTransition) -> bool,
+    is_relevant: impl Fn(&MemberTransition) -> bool,
 ) -> String {
     let mut times: Vec<Duration> = transitions
         .iter()
-        .filter(|transition| counts(transition))
+        .filter(|transition| is_relevant(transition))
         .map(|transition| transition.at.duration_since(from))
         .collect();
     times.sort_unstable();
     times.get(times.len() / 2).map_or(String::new(), |median| {
-        format!(", half of it at {}", display_seconds(*median))
+        format!(", median {}", display_seconds(*median))
     })
 }
--- a/crates/fault-simulation/src/scenario.rs
+++ b/crates/fault-simulation/src/scenario.rs
@@ -1,4 +1,5 @@
-//! Scenarios: cases that say what is done to a fleet and what is claimed of it, read from protobuf text format.
+//! Cases: what is done to a fleet, step by step, and the claims about it that are checked. They are read from protobuf text
+//! format.
 mod action;
 mod built_in;
 mod claim;
@@ -9,7 +10,7 @@
 
 pub use action::{Action, Build, DelayRange, DiskState, HostAction};
 pub use built_in::CASES;
-pub use claim::{Bound, Claim};
+pub use claim::{Claim, TimeBound};
 pub use fronts::Fronts;
 pub use parser::parse;
 
@@ -17,54 +18,54 @@
 
 /// A step of a case.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    /// An action is carried out.
+pub enum CaseStep {
+    /// Carries out an action.
     Action(Action),
-    /// Time passes.
+    /// Lets this much time pass.
     Run(Duration),
-    /// Accusations and restarts count from here on.
-    Mark,
-    /// A claim is checked.
+    /// Starts a new measurement: accusations, restarts and recovered sessions count from this time on (`mark`).
+    BeginMeasurement,
+    /// Checks a claim.
     Claim {
-        /// The name that it is reported by.
+        /// The text by which the result is reported.
         name: String,
-        /// What is claimed.
+        /// The condition to check.
         claim: Claim,
     },
 }
 
-/// A checked case.
+/// A case whose text was read without errors.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Case {
-    /// Its name.
+    /// Name by which the case is selected and reported.
     pub name: String,
-    /// A description of it.
+    /// One line that describes the faults of the case.
     pub description: String,
-    /// Fronts that run at first.
+    /// Fronts that run at the start of the case; by default all.
     pub first: Fronts,
-    /// Fronts through which all join at first.
+    /// Seeds in the configuration of all fronts, through which they join the fleet; by default front 0.
     pub seeds: Fronts,
-    /// Its steps, in order.
-    pub steps: Vec<Step>,
-    /// The day whose traffic and servers it is played with.
+    /// Actions, pauses and claims, in the order in which they are carried out.
+    pub steps: Vec<CaseStep>,
+    /// Name of the day script whose traffic and servers the case runs with on real processes; by default `calm`.
     pub day: String,
-    /// Whether fronts have disks, and players reconnect with their keys.
-    pub disks: bool,
+    /// Whether fronts have disks and players reconnect with their keys, even if the case has no power failures.
+    pub has_disks: bool,
 }
 
 impl Case {
-    /// Whether it writes entries of the gossip state, which only runs in virtual time do yet.
+    /// Whether the case writes entries of the gossip state; only simulated fleets support this so far.
     #[must_use]
     pub fn needs_gossip_state(&self) -> bool {
         self.steps
             .iter()
-            .any(|step| matches!(step, Step::Action(Action::WriteEntry { .. })))
+            .any(|step| matches!(step, CaseStep::Action(Action::WriteEntry { .. })))
     }
 
-    /// Whether it needs processes with disks.
+    /// Whether the case needs real processes with disks, because it asks for them or acts on hosts.
     #[must_use]
     pub fn needs_disks(&self) -> bool {
-        let acts_on_hosts = |step: &Step| matches!(step, Step::Action(Action::Host(_)));
-        self.disks || self.steps.iter().any(acts_on_hosts)
+        let acts_on_hosts = |step: &CaseStep| matches!(step, CaseStep::Action(Action::Host(_)));
+        self.has_disks || self.steps.iter().any(acts_on_hosts)
     }
 }
--- a/crates/fault-simulation/src/scenario/action.rs
+++ b/crates/fault-simulation/src/scenario/action.rs
@@ -1,148 +1,148 @@
-//! Actions: what is done to fronts, hosts and the network.
+//! The actions of a case on fronts, on their hosts and on the network.
 use super::Fronts;
 use crankpaddle_time::nanoseconds;
 use std::time::Duration;
 
-/// An action of a scenario. The names of a case's steps in `proto/case.proto` are older; the parser maps them.
+/// An action of a case. Names in parentheses are those of the steps in `proto/case.proto`, if they differ from the variant's.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Starts those of them that do not run, as new incarnations.
+    /// Starts those of the fronts that do not run, as new incarnations.
     Start(Fronts),
-    /// Kills them.
+    /// Kills the processes of fronts without notice.
     Kill(Fronts),
-    /// Shuts them down gracefully (`end`).
+    /// Shuts fronts down gracefully, so that they announce that they leave (`end`).
     ShutDown(Fronts),
-    /// Pauses them (`stop`).
+    /// Pauses the processes of fronts; their sockets still buffer datagrams (`stop`).
     Pause(Fronts),
-    /// Resumes them (`go_on`).
+    /// Resumes paused processes (`go_on`).
     Resume(Fronts),
-    /// Kills them and starts them again.
+    /// Kills fronts and starts them again as new incarnations.
     Restart {
-        /// The fronts.
+        /// The fronts to restart.
         fronts: Fronts,
-        /// Time until they start again.
+        /// Time between the kill and the start.
         after: Duration,
     },
     /// Sets the conditions of the network from now on (`net`).
     SetNetwork {
-        /// Part of the datagrams that is lost.
+        /// Probability from 0 to 1 that a datagram is lost.
         loss: f64,
-        /// Part that is duplicated.
+        /// Probability from 0 to 1 that a datagram arrives twice.
         duplicated: f64,
-        /// Transit time; `None`: the usual one.
+        /// Range of the transit time; `None` for the cluster's default.
         delay: Option<DelayRange>,
-        /// Bytes a second from one front to another.
+        /// Bandwidth from one front to another, in bytes per second; infinite if there is no limit.
         bandwidth: f64,
     },
     /// Drops everything that is sent from some fronts to others (`cut`).
     Partition {
-        /// The senders.
+        /// Fronts whose datagrams are dropped.
         from: Fronts,
-        /// The receivers.
+        /// Fronts that no longer receive those datagrams.
         to: Fronts,
-        /// Whether the opposite direction is dropped as well.
+        /// Whether datagrams in the opposite direction are dropped as well.
         both_ways: bool,
     },
     /// Ends all partitions.
     Heal,
-    /// Delivers several copies of each datagram of some fronts.
+    /// Sends several copies of each datagram of some fronts.
     Flood {
-        /// The fronts.
+        /// Fronts whose datagrams are multiplied.
         fronts: Fronts,
-        /// Copies of each datagram.
+        /// Number of copies that are sent of each datagram; 1 ends the flood.
         copies: u32,
     },
-    /// Has a front write its entry of the gossip state (`write`).
+    /// Makes a front write its entry of the gossip state (`write`).
     WriteEntry {
-        /// The front.
+        /// Number of the front that writes.
         front: usize,
     },
-    /// An action on what only real processes have: power, disks, servers with session inventories.
+    /// An action on something that only fleets of real processes have: power, disks, servers with session inventories.
     Host(HostAction),
-    /// Selects the build that fronts run from their next start on (`runs`).
+    /// Selects the build that fronts run from their next start on; no effect if there is only one build (`runs`).
     SelectBuild {
-        /// The fronts.
+        /// Fronts that change their build.
         fronts: Fronts,
-        /// The build.
+        /// The build to run.
         build: Build,
     },
 }
 
-/// One of the two builds of the program that are compared.
+/// One of the two builds of the program that can run together in a fleet of real processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Build {
-    /// The one that all fronts run at first.
+    /// The build that all fronts run at the start of a case.
     First,
-    /// The other one.
+    /// The second build.
     Other,
 }
 
-/// An action on hosts.
+/// An action on hosts, which only fleets of real processes support.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostAction {
-    /// Hosts lose power in one instant.
+    /// Cuts the power of hosts, all at the same moment.
     PowerOff {
-        /// Fronts that stop.
+        /// Fronts that lose power.
         fronts: Fronts,
-        /// Servers that stop.
+        /// Servers that lose power.
         servers: Fronts,
-        /// Whether the list service stops.
+        /// Whether the service that provides the endpoint list loses power.
         list_service: bool,
     },
-    /// Hosts have power again.
+    /// Restores the power of hosts.
     PowerOn {
-        /// Fronts that start.
+        /// Fronts that start, with the contents of their disks.
         fronts: Fronts,
-        /// Servers that start.
+        /// Servers that start, without sessions and in slow start.
         servers: Fronts,
-        /// Whether the list service starts.
+        /// Whether the service that provides the endpoint list starts.
         list_service: bool,
     },
-    /// Disks are copied as they are.
+    /// Copies the disks of fronts in their current state, for a later [`DiskState::Outdated`].
     CopyDisks(Fronts),
-    /// Disks are replaced by one in another state.
+    /// Replaces the disks of fronts that do not run by disks in the given state.
     SetDisks {
-        /// The fronts whose disks they are.
+        /// Fronts whose disks are replaced.
         fronts: Fronts,
-        /// The state that the disks are found in.
+        /// The state of the disks at the next start of these fronts.
         state: DiskState,
     },
-    /// Servers lose their session inventories.
+    /// Makes servers lose the session inventories of their previous incarnations (`lose_books`).
     LoseSessionInventories(Fronts),
 }
 
-/// The state that a disk is found in.
+/// The state in which a front finds its disk when it starts after a power failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskState {
-    /// As it was.
+    /// Unchanged since the power failure.
     Intact,
-    /// Empty.
+    /// Without any data.
     Empty,
-    /// As it was when it was copied.
+    /// In the state of the last copy ([`HostAction::CopyDisks`]).
     Outdated,
-    /// With a torn write.
+    /// With a file that is truncated, as after an incomplete write.
     Torn,
 }
 
-/// The range of a datagram's transit time.
+/// The range of a datagram's transit time. Since each time is drawn separately, datagrams can overtake each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DelayRange {
-    /// The least.
+    /// Shortest transit time.
     pub min: Duration,
-    /// The most.
+    /// Longest transit time.
     pub max: Duration,
 }
 
 impl DelayRange {
-    /// No delay.
+    /// Transit time zero.
     pub const NONE: DelayRange = DelayRange {
         min: Duration::ZERO,
         max: Duration::ZERO,
     };
 
-    /// Draws a transit time, uniformly.
+    /// Draws a transit time from a uniform distribution.
     pub(crate) fn draw(self, rng: &mut oorandom::Rand64) -> Duration {
-        let part = rng.rand_float() * nanoseconds(self.max - self.min) as f64;
-        self.min + Duration::from_nanos(part as u64)
+        let offset_ns = rng.rand_float() * nanoseconds(self.max - self.min) as f64;
+        self.min + Duration::from_nanos(offset_ns as u64)
     }
 }
--- a/crates/fault-simulation/src/scenario/built_in.rs
+++ b/crates/fault-simulation/src/scenario/built_in.rs
@@ -1,6 +1,6 @@
-//! The built-in cases.
+//! The cases that are compiled into the program.
 
-/// The built-in cases by name.
+/// Name and text of each built-in case, in the order in which they are listed.
 pub const CASES: [(&str, &str); 23] = [
     ("calm", include_str!("../../cases/calm.textproto")),
     ("deaths", include_str!("../../cases/deaths.textproto")),
--- a/crates/fault-simulation/src/scenario/claim.rs
+++ b/crates/fault-simulation/src/scenario/claim.rs
@@ -1,85 +1,85 @@
-//! Claims: what is to hold of a fleet, and within which time.
+//! Claims: conditions that a fleet has to fulfil, most of them within a time limit.
 use super::Fronts;
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::nanoseconds;
 use std::time::Duration;
 
-/// How long something may take; longer in a larger fleet.
+/// The time within which a claim has to hold; longer in a larger fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct TimeBound {
     pub(super) base: Duration,
-    pub(super) per_decade: Duration, // For each power of ten of the fleet's size.
+    pub(super) per_decade: Duration, // Multiplied by the decimal logarithm of the fleet's size, which counts as at least 1.
 }
 
-impl Bound {
-    /// The bound in a fleet of so many.
+impl TimeBound {
+    /// The time limit in a fleet of this size.
     #[must_use]
-    pub fn of(&self, fleet: usize) -> Duration {
-        let decades = (fleet as f64).log10().max(1.0);
+    pub fn for_fleet(&self, fleet_size: usize) -> Duration {
+        let decades = (fleet_size as f64).log10().max(1.0);
         let growth = nanoseconds(self.per_decade) as f64 * decades;
         self.base + Duration::from_nanos(growth as u64)
     }
 }
 
-/// What is claimed.
+/// A condition on a fleet. Names in parentheses are those of the steps in `proto/case.proto`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Claim {
-    /// Each viewer sees each viewed front in a state (`see`).
-    See {
-        /// The fronts whose view it is.
+    /// Each viewer sees each viewed front in the given state (`see`).
+    MembersSeenAs {
+        /// Fronts whose views are checked.
         viewers: Fronts,
-        /// The fronts that are viewed.
+        /// Fronts whose state in these views is checked; a front's view of itself does not count.
         viewed: Fronts,
-        /// The state.
+        /// The expected state.
         state: MemberState,
-        /// The time that it may take.
-        bound: Bound,
+        /// Time limit, from the check on.
+        bound: TimeBound,
     },
-    /// A limit on the false accusations since the mark (`accused`).
-    Accused {
-        /// The fronts whose accusations count.
+    /// A limit on how often fronts were wrongly declared dead since the start of the measurement (`accused`).
+    FalseAccusations {
+        /// Fronts whose views count.
         accusers: Fronts,
-        /// Fronts that are rightly accused.
+        /// Fronts that are rightly declared dead, so that this does not count.
         except: Fronts,
-        /// Accusations allowed in the complete fleet.
-        allowed: u32,
-        /// Accusations allowed for each front, in addition.
-        allowed_per_front: f64,
+        /// Number of false accusations allowed, regardless of the fleet's size.
+        max_accusations: u32,
+        /// Number of false accusations allowed in addition, for each front of the fleet.
+        max_accusations_per_front: f64,
     },
-    /// The own health of each of some fronts (`stands`).
+    /// Each of the fronts estimates its own health as given (`stands`).
     LocalHealth {
-        /// The fronts.
+        /// Fronts whose own health is checked.
         fronts: Fronts,
-        /// Their health.
+        /// The expected health.
         health: LocalHealth,
-        /// The time that it may take.
-        bound: Bound,
+        /// Time limit, from the check on.
+        bound: TimeBound,
     },
-    /// Each viewer sees a new incarnation of each restarted front, since the mark (`news`).
-    Restarted {
-        /// The fronts whose view it is.
+    /// Each viewer has seen a new incarnation of each restarted front since the start of the measurement (`news`).
+    RestartsSeen {
+        /// Fronts whose views are checked.
         viewers: Fronts,
-        /// The fronts that restarted.
+        /// Fronts that restarted.
         restarted: Fronts,
-        /// The time that it may take.
-        bound: Bound,
+        /// Time limit, from the check on.
+        bound: TimeBound,
     },
-    /// A part of the other fronts knows the entry that was written last (`holds`).
+    /// At least a fraction of the fronts has the entry of the gossip state that front 0 wrote last (`holds`).
     EntryKnown {
-        /// The part.
-        part: f64,
-        /// The time that it may take.
-        bound: Bound,
-        /// The largest error of the entry's age.
+        /// Smallest fraction, from 0 to 1, of all fronts except front 0.
+        min_fraction: f64,
+        /// Time limit, from the check on.
+        bound: TimeBound,
+        /// Largest allowed error of the entry's age, as any front with the entry computes it.
         max_age_error: Duration,
     },
-    /// Of the players that lost a session with the power, a part has one again or left, since the mark (`back`).
-    Recovered {
+    /// At least a fraction of the viewers that lost their session in a power failure has one again or has left (`back`).
+    SessionsRecovered {
         /// Whether only sessions of paid classes count.
         paid: bool,
-        /// The part.
-        part: f64,
-        /// The time that it may take.
-        bound: Bound,
+        /// Smallest fraction, from 0.01 to 1, of the viewers that lost their session.
+        min_fraction: f64,
+        /// Time limit, from the start of the measurement on.
+        bound: TimeBound,
     },
 }
--- a/crates/fault-simulation/src/scenario/fronts.rs
+++ b/crates/fault-simulation/src/scenario/fronts.rs
@@ -1,28 +1,29 @@
-//! Sets of fronts, written as text: `all`, `none`, `3`, `3-7`, `0/10`, `0%-50%`, a group's name; `!` for all others.
-use crate::error::FrontsError;
+//! Sets of fronts, written as a comma-separated list of `all`, `none`, `3`, `3-7`, `0/10`, `0%-50%` or the name of a group; a
+//! leading `!` selects all fronts that are not in the list.
+use crate::error::ParseFrontsError;
 use std::collections::HashMap;
 
-/// A set of fronts, for a fleet of any size.
+/// A set of fronts that is defined independently of the size of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fronts {
-    is_complement: bool, // All fronts except the listed ones.
-    listed: Vec<Subset>,
+    is_complement: bool, // The set contains all fronts that are in none of the subsets.
+    subsets: Vec<Subset>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Subset {
     All,
-    /// Both ends belong to it.
+    /// Consecutive fronts, including the last one.
     Range {
         first: usize,
         last: usize,
     },
-    Every {
+    EveryNth {
         first: usize,
         step: usize,
     },
-    /// A part of the fleet, without its end.
-    Part {
+    /// The fronts between two fractions (0 to 1) of the fleet, without the end.
+    FractionRange {
         begin: f64,
         end: f64,
     },
@@ -30,18 +31,18 @@
 }
 
 impl Subset {
-    fn has(&self, front: usize, fleet: usize) -> bool {
+    fn contains(&self, front: usize, fleet_size: usize) -> bool {
         match self {
             Subset::All => true,
             Subset::Range { first, last } => (*first..=*last).contains(&front),
-            Subset::Every { first, step } => {
+            Subset::EveryNth { first, step } => {
                 front >= *first && (front - first).is_multiple_of(*step)
             }
-            Subset::Part { begin, end } => {
+            Subset::FractionRange { begin, end } => {
                 let position = front as f64;
-                position >= begin * fleet as f64 && position < end * fleet as f64
+                position >= begin * fleet_size as f64 && position < end * fleet_size as f64
             }
-            Subset::Group(fronts) => fronts.has(front, fleet),
+            Subset::Group(fronts) => fronts.contains(front, fleet_size),
         }
     }
 
@@ -53,7 +54,7 @@
             return Some(Subset::Group(Box::new(group.clone())));
         }
         if let Some((first, step)) = item.split_once('/') {
-            return Some(Subset::Every {
+            return Some(Subset::EveryNth {
                 first: parse_number(first)?,
                 step: parse_number(step).filter(|step| *step > 0)?,
             });
@@ -70,7 +71,7 @@
 
     fn parse_range(begin: &str, end: &str) -> Option<Subset> {
         if let (Some(begin), Some(end)) = (parse_percent(begin), parse_percent(end)) {
-            return Some(Subset::Part { begin, end });
+            return Some(Subset::FractionRange { begin, end });
         }
         Some(Subset::Range {
             first: parse_number(begin)?,
@@ -80,50 +81,56 @@
 }
 
 impl Fronts {
-    /// All of them.
+    /// The set of all fronts.
     #[must_use]
     pub fn all() -> Fronts {
         Fronts {
             is_complement: false,
-            listed: vec![Subset::All],
+            subsets: vec![Subset::All],
         }
     }
 
-    /// Whether the front of this number belongs to the set, in a fleet of so many.
+    /// Whether the front of this number belongs to the set, in a fleet of this size.
     #[must_use]
-    pub fn has(&self, front: usize, fleet: usize) -> bool {
-        let is_listed = self.listed.iter().any(|subset| subset.has(front, fleet));
-        is_listed != self.is_complement
+    pub fn contains(&self, front: usize, fleet_size: usize) -> bool {
+        let is_in_subsets = self
+            .subsets
+            .iter()
+            .any(|subset| subset.contains(front, fleet_size));
+        is_in_subsets != self.is_complement
     }
 
-    /// Their numbers in a fleet of so many.
+    /// The numbers of the fronts in the set, in a fleet of this size, in ascending order.
     #[must_use]
-    pub fn of(&self, fleet: usize) -> Vec<usize> {
-        (0..fleet).filter(|front| self.has(*front, fleet)).collect()
+    pub fn of(&self, fleet_size: usize) -> Vec<usize> {
+        (0..fleet_size)
+            .filter(|front| self.contains(*front, fleet_size))
+            .collect()
     }
 
     pub(super) fn parse(
         text: &str,
         groups: &HashMap<String, Fronts>,
-    ) -> Result<Fronts, FrontsError> {
+    ) -> Result<Fronts, ParseFrontsError> {
         let (is_complement, list) = match text.strip_prefix('!') {
             Some(list) => (true, list),
             None => (false, text),
         };
-        let mut listed = Vec::new();
+        let mut subsets = Vec::new();
         for item in list.split(',').map(str::trim) {
             if item == "none" {
                 continue;
             }
-            let subset = Subset::parse(item, groups).ok_or_else(|| FrontsError::UnknownItem {
-                item: item.to_owned(),
-                groups: groups.keys().cloned().collect(),
-            })?;
-            listed.push(subset);
+            let subset =
+                Subset::parse(item, groups).ok_or_else(|| ParseFrontsError::UnknownItem {
+                    item: item.to_owned(),
+                    groups: groups.keys().cloned().collect(),
+                })?;
+            subsets.push(subset);
         }
         Ok(Fronts {
             is_complement,
-            listed,
+            subsets,
         })
     }
 }
@@ -132,7 +139,7 @@
     text.parse().ok()
 }
 
-/// A part from 0 to 1.
+/// Reads a percentage as a fraction from 0 to 1.
 fn parse_percent(text: &str) -> Option<f64> {
     let percent: f64 = text.strip_suffix('%')?.parse().ok()?;
     (0.0..=100.0).contains(&percent).then_some(percent / 100.0)
--- a/crates/fault-simulation/src/scenario/parser/actions.rs
+++ b/crates/fault-simulation/src/scenario/parser/actions.rs
@@ -1,4 +1,4 @@
-//! Reads the actions of a case.
+//! Converts the actions of a case from the generated types of the schema.
 use super::{or_default, schema, Parser, BYTES_PER_KILOBYTE};
 use crate::scenario::{Action, Build, DelayRange, DiskState, HostAction};
 
@@ -9,10 +9,10 @@
         Action::Restart { fronts, after }
     }
 
-    pub(super) fn net(&mut self, path: &str, raw: &schema::Net) -> Action {
+    pub(super) fn set_network(&mut self, path: &str, raw: &schema::Net) -> Action {
         Action::SetNetwork {
-            loss: self.part(&format!("{path}.loss"), raw.loss),
-            duplicated: self.part(&format!("{path}.doubled"), raw.doubled),
+            loss: self.fraction(&format!("{path}.loss"), raw.loss),
+            duplicated: self.fraction(&format!("{path}.doubled"), raw.doubled),
             delay: self.delay(path, raw),
             bandwidth: self.bandwidth(&format!("{path}.bandwidth"), &raw.bandwidth),
         }
@@ -22,11 +22,11 @@
         if raw.most.is_empty() {
             return None;
         }
-        let least = format!("{path}.least");
-        let min = self.optional_time(&least, &raw.least);
+        let min_path = format!("{path}.least");
+        let min = self.optional_time(&min_path, &raw.least);
         let max = self.time(&format!("{path}.most"), &raw.most);
         self.checks
-            .must(min <= max, &least, "is more than the most");
+            .must(min <= max, &min_path, "is greater than `most`");
         Some(DelayRange {
             min,
             max: max.max(min),
@@ -40,7 +40,7 @@
         self.checks.rate(path, text) * BYTES_PER_KILOBYTE
     }
 
-    pub(super) fn cut(&mut self, path: &str, raw: &schema::Cut) -> Action {
+    pub(super) fn partition(&mut self, path: &str, raw: &schema::Cut) -> Action {
         Action::Partition {
             from: self.fronts(&format!("{path}.from"), &raw.from),
             to: self.fronts(&format!("{path}.to"), &raw.to),
--- a/crates/fault-simulation/src/scenario/parser/claims.rs
+++ b/crates/fault-simulation/src/scenario/parser/claims.rs
@@ -1,20 +1,23 @@
-//! Reads the claims of a case.
+//! Converts the claims of a case from the generated types of the schema.
 use super::{or_default, schema, Parser};
-use crate::scenario::{Claim, Step};
+use crate::scenario::{CaseStep, Claim};
 use crankpaddle_membership::{LocalHealth, MemberState};
 
 impl Parser<'_, '_> {
-    fn claim(&mut self, path: &str, name: &str, claim: Claim) -> Step {
-        self.checks
-            .must(!name.is_empty(), path, "has no claim to be named by");
-        Step::Claim {
+    fn claim(&mut self, path: &str, name: &str, claim: Claim) -> CaseStep {
+        self.checks.must(
+            !name.is_empty(),
+            path,
+            "has no claim: the text by which its result is reported",
+        );
+        CaseStep::Claim {
             name: name.to_owned(),
             claim,
         }
     }
 
-    pub(super) fn see(&mut self, path: &str, raw: &schema::See) -> Step {
-        let claim = Claim::See {
+    pub(super) fn members_seen_as(&mut self, path: &str, raw: &schema::See) -> CaseStep {
+        let claim = Claim::MembersSeenAs {
             viewers: self.fronts(&format!("{path}.at"), &raw.at),
             viewed: self.fronts(&format!("{path}.of"), &raw.of),
             state: self.member_state(path, raw.state()),
@@ -37,12 +40,12 @@
         }
     }
 
-    pub(super) fn accused(&mut self, path: &str, raw: &schema::Accused) -> Step {
-        let claim = Claim::Accused {
+    pub(super) fn false_accusations(&mut self, path: &str, raw: &schema::Accused) -> CaseStep {
+        let claim = Claim::FalseAccusations {
             accusers: self.fronts(&format!("{path}.by"), &raw.by),
             except: self.fronts(&format!("{path}.but"), or_default(&raw.but, "none")),
-            allowed: raw.most,
-            allowed_per_front: self.checks.within(
+            max_accusations: raw.most,
+            max_accusations_per_front: self.checks.within(
                 &format!("{path}.a_front"),
                 raw.a_front,
                 0.0,
@@ -52,7 +55,7 @@
         self.claim(path, &raw.claim, claim)
     }
 
-    pub(super) fn local_health(&mut self, path: &str, raw: &schema::Stands) -> Step {
+    pub(super) fn local_health(&mut self, path: &str, raw: &schema::Stands) -> CaseStep {
         let health = match raw.r#as() {
             schema::Standing::Alone => LocalHealth::Alone,
             schema::Standing::Connected => LocalHealth::Connected,
@@ -75,8 +78,8 @@
         self.claim(path, &raw.claim, claim)
     }
 
-    pub(super) fn restarted(&mut self, path: &str, raw: &schema::News) -> Step {
-        let claim = Claim::Restarted {
+    pub(super) fn restarts_seen(&mut self, path: &str, raw: &schema::News) -> CaseStep {
+        let claim = Claim::RestartsSeen {
             viewers: self.fronts(&format!("{path}.at"), &raw.at),
             restarted: self.fronts(&format!("{path}.of"), &raw.of),
             bound: self.bound(path, raw.bound.as_ref()),
@@ -84,10 +87,10 @@
         self.claim(path, &raw.claim, claim)
     }
 
-    pub(super) fn recovered(&mut self, path: &str, raw: &schema::Back) -> Step {
-        let claim = Claim::Recovered {
+    pub(super) fn sessions_recovered(&mut self, path: &str, raw: &schema::Back) -> CaseStep {
+        let claim = Claim::SessionsRecovered {
             paid: raw.paid,
-            part: self
+            min_fraction: self
                 .checks
                 .within(&format!("{path}.part"), raw.part, 0.01, 1.0),
             bound: self.bound(path, raw.bound.as_ref()),
@@ -95,9 +98,9 @@
         self.claim(path, &raw.claim, claim)
     }
 
-    pub(super) fn entry_known(&mut self, path: &str, raw: &schema::Holds) -> Step {
+    pub(super) fn entry_known(&mut self, path: &str, raw: &schema::Holds) -> CaseStep {
         let claim = Claim::EntryKnown {
-            part: self.part(&format!("{path}.part"), raw.part),
+            min_fraction: self.fraction(&format!("{path}.part"), raw.part),
             bound: self.bound(path, raw.bound.as_ref()),
             max_age_error: self.time(&format!("{path}.age_within"), &raw.age_within),
         };
--- a/crates/fault-simulation/src/scenario/parser/mod.rs
+++ b/crates/fault-simulation/src/scenario/parser/mod.rs
@@ -1,28 +1,28 @@
-//! Reads a case from protobuf text format, checked with line, column and what is allowed.
+//! Reads a case from protobuf text format. Each problem is reported with its line, its column and the values that are allowed.
 mod actions;
 mod claims;
 
-use super::{Action, Bound, Case, Fronts, HostAction, Step};
+use super::{Action, Case, CaseStep, Fronts, HostAction, TimeBound};
 use crankpaddle_textproto::{Checks, Problem};
 use std::collections::HashMap;
 use std::time::Duration;
 
-#[allow(missing_docs, unreachable_pub)] // Generated; the schema has comments of its own.
+#[allow(missing_docs, unreachable_pub)] // The types are generated; `proto/case.proto` documents them.
 mod schema {
     include!(concat!(env!("OUT_DIR"), "/crankpaddle.fleet.v1.rs"));
 }
 
-const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/case.binpb"));
-/// Rates are read in kilobytes a second; the network counts in bytes.
+const DESCRIPTOR_SET: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/case.binpb"));
+/// Rates are read in kilobytes per second, but the network conditions hold bytes per second.
 const BYTES_PER_KILOBYTE: f64 = 1000.0;
 
-/// Reads and checks a case.
+/// Reads a case from its text and checks it.
 ///
 /// # Errors
-/// All problems of the text, in their order.
+/// The text has problems; all of them are returned, in the order of the text.
 pub fn parse(text: &str) -> Result<Case, Vec<Problem>> {
     let mut checks = Checks::new(text);
-    let raw = checks.structure::<schema::Case>(DESCRIPTORS, "crankpaddle.fleet.v1.Case", "");
+    let raw = checks.structure::<schema::Case>(DESCRIPTOR_SET, "crankpaddle.fleet.v1.Case", "");
     let case = raw.map(|raw| {
         let mut parser = Parser {
             checks: &mut checks,
@@ -56,53 +56,55 @@
             seeds: self.fronts("seeds", or_default(&raw.seeds, "0")),
             steps,
             day: or_default(&raw.day, "calm").to_owned(),
-            disks: raw.disks,
+            has_disks: raw.disks,
         }
     }
 
-    fn step(&mut self, at: &str, raw: &schema::Step) -> Step {
+    fn step(&mut self, step_path: &str, raw: &schema::Step) -> CaseStep {
         use schema::step::Kind as Raw;
         let Some(kind) = &raw.kind else {
-            self.checks
-                .wrong(at, "says nothing; see the schema for its kinds");
-            return Step::Mark;
+            self.checks.wrong(
+                step_path,
+                "is empty: an action, a claim, run or mark is needed",
+            );
+            return CaseStep::BeginMeasurement;
         };
-        let path = |field: &str| format!("{at}.{field}");
+        let field_path = |field: &str| format!("{step_path}.{field}");
         let action = match kind {
-            Raw::Run(time) => return Step::Run(self.time(&path("run"), time)),
-            Raw::Mark(_) => return Step::Mark,
-            Raw::See(raw) => return self.see(&path("see"), raw),
-            Raw::Accused(raw) => return self.accused(&path("accused"), raw),
-            Raw::Stands(raw) => return self.local_health(&path("stands"), raw),
-            Raw::News(raw) => return self.restarted(&path("news"), raw),
-            Raw::Back(raw) => return self.recovered(&path("back"), raw),
-            Raw::Holds(raw) => return self.entry_known(&path("holds"), raw),
-            Raw::Start(text) => Action::Start(self.fronts(&path("start"), text)),
-            Raw::Kill(text) => Action::Kill(self.fronts(&path("kill"), text)),
-            Raw::End(text) => Action::ShutDown(self.fronts(&path("end"), text)),
-            Raw::Stop(text) => Action::Pause(self.fronts(&path("stop"), text)),
-            Raw::GoOn(text) => Action::Resume(self.fronts(&path("go_on"), text)),
-            Raw::Restart(raw) => self.restart(&path("restart"), raw),
-            Raw::Net(raw) => self.net(&path("net"), raw),
-            Raw::Cut(raw) => self.cut(&path("cut"), raw),
+            Raw::Run(time) => return CaseStep::Run(self.time(&field_path("run"), time)),
+            Raw::Mark(_) => return CaseStep::BeginMeasurement,
+            Raw::See(raw) => return self.members_seen_as(&field_path("see"), raw),
+            Raw::Accused(raw) => return self.false_accusations(&field_path("accused"), raw),
+            Raw::Stands(raw) => return self.local_health(&field_path("stands"), raw),
+            Raw::News(raw) => return self.restarts_seen(&field_path("news"), raw),
+            Raw::Back(raw) => return self.sessions_recovered(&field_path("back"), raw),
+            Raw::Holds(raw) => return self.entry_known(&field_path("holds"), raw),
+            Raw::Start(text) => Action::Start(self.fronts(&field_path("start"), text)),
+            Raw::Kill(text) => Action::Kill(self.fronts(&field_path("kill"), text)),
+            Raw::End(text) => Action::ShutDown(self.fronts(&field_path("end"), text)),
+            Raw::Stop(text) => Action::Pause(self.fronts(&field_path("stop"), text)),
+            Raw::GoOn(text) => Action::Resume(self.fronts(&field_path("go_on"), text)),
+            Raw::Restart(raw) => self.restart(&field_path("restart"), raw),
+            Raw::Net(raw) => self.set_network(&field_path("net"), raw),
+            Raw::Cut(raw) => self.partition(&field_path("cut"), raw),
             Raw::Heal(_) => Action::Heal,
-            Raw::Flood(raw) => self.flood(&path("flood"), raw),
+            Raw::Flood(raw) => self.flood(&field_path("flood"), raw),
             Raw::Write(front) => Action::WriteEntry {
                 front: *front as usize,
             },
-            Raw::Runs(raw) => self.select_build(&path("runs"), raw),
-            Raw::PowerOff(raw) => Action::Host(self.power_off(&path("power_off"), raw)),
-            Raw::PowerOn(raw) => Action::Host(self.power_on(&path("power_on"), raw)),
+            Raw::Runs(raw) => self.select_build(&field_path("runs"), raw),
+            Raw::PowerOff(raw) => Action::Host(self.power_off(&field_path("power_off"), raw)),
+            Raw::PowerOn(raw) => Action::Host(self.power_on(&field_path("power_on"), raw)),
             Raw::CopyDisks(text) => Action::Host(HostAction::CopyDisks(
-                self.fronts(&path("copy_disks"), text),
+                self.fronts(&field_path("copy_disks"), text),
             )),
-            Raw::Disk(raw) => Action::Host(self.disk(&path("disk"), raw)),
+            Raw::Disk(raw) => Action::Host(self.disk(&field_path("disk"), raw)),
             Raw::LoseBooks(text) => {
-                let servers = self.fronts(&path("lose_books"), text);
+                let servers = self.fronts(&field_path("lose_books"), text);
                 Action::Host(HostAction::LoseSessionInventories(servers))
             }
         };
-        Step::Action(action)
+        CaseStep::Action(action)
     }
 
     fn fronts(&mut self, path: &str, text: &str) -> Fronts {
@@ -115,15 +117,15 @@
         }
     }
 
-    fn bound(&mut self, path: &str, raw: Option<&schema::Bound>) -> Bound {
+    fn bound(&mut self, path: &str, raw: Option<&schema::Bound>) -> TimeBound {
         let Some(raw) = raw else {
             self.checks.wrong(path, "has no bound");
-            return Bound {
+            return TimeBound {
                 base: Duration::ZERO,
                 per_decade: Duration::ZERO,
             };
         };
-        Bound {
+        TimeBound {
             base: self.time(&format!("{path}.bound.within"), &raw.within),
             per_decade: self.optional_time(&format!("{path}.bound.more"), &raw.more),
         }
@@ -133,7 +135,7 @@
         Duration::from_nanos(self.checks.time(path, text))
     }
 
-    /// A time; zero where none is stated.
+    /// Reads a time; zero if the field is empty.
     fn optional_time(&mut self, path: &str, text: &str) -> Duration {
         if text.is_empty() {
             return Duration::ZERO;
@@ -141,13 +143,13 @@
         self.time(path, text)
     }
 
-    /// A part from 0 to 1.
-    fn part(&mut self, path: &str, value: f64) -> f64 {
+    /// Checks that a value is a fraction from 0 to 1.
+    fn fraction(&mut self, path: &str, value: f64) -> f64 {
         self.checks.within(path, value, 0.0, 1.0)
     }
 }
 
-/// A field's text, or the default where it is empty.
+/// The text of a field, or the default if the field is empty.
 fn or_default<'a>(text: &'a str, default: &'a str) -> &'a str {
     if text.is_empty() {
         default
--- a/crates/fault-simulation/src/scenario/tests.rs
+++ b/crates/fault-simulation/src/scenario/tests.rs
@@ -1,11 +1,11 @@
-use super::{parse, Action, Fronts, Step, CASES};
+use super::{parse, Action, CaseStep, Fronts, CASES};
 use std::collections::HashMap;
 
 #[test]
-fn fronts_are_selected_by_number_range_step_part_group_and_exclusion() {
+fn fronts_are_selected_by_number_range_step_percentage_group_and_exclusion() {
     let dead = Fronts::parse("0/4,9", &HashMap::new()).unwrap();
     let groups: HashMap<String, Fronts> = [("dead".to_owned(), dead)].into();
-    for (text, of) in [
+    for (text, expected) in [
         ("all", vec![0, 1, 2, 3, 4, 5, 6, 7, 8, 9]),
         ("none", vec![]),
         ("3", vec![3]),
@@ -16,15 +16,19 @@
         ("dead", vec![0, 4, 8, 9]),
         ("!dead,1", vec![2, 3, 5, 6, 7]),
     ] {
-        assert_eq!(Fronts::parse(text, &groups).unwrap().of(10), of, "{text}");
+        assert_eq!(
+            Fronts::parse(text, &groups).unwrap().of(10),
+            expected,
+            "{text}"
+        );
     }
-    for bad in ["", "x", "3/0", "5%-200%", "-", "!!3"] {
+    for invalid in ["", "x", "3/0", "5%-200%", "-", "!!3"] {
         assert!(
-            Fronts::parse(bad, &groups)
+            Fronts::parse(invalid, &groups)
                 .unwrap_err()
                 .to_string()
                 .contains("allowed: all"),
-            "{bad}"
+            "{invalid}"
         );
     }
 }
@@ -35,20 +39,22 @@
         let case = parse(text).unwrap_or_else(|p| panic!("{name}: {p:?}"));
         assert_eq!(case.name, name);
         assert!(
-            case.steps.iter().any(|s| matches!(s, Step::Claim { .. })),
-            "{name} claims nothing"
+            case.steps
+                .iter()
+                .any(|s| matches!(s, CaseStep::Claim { .. })),
+            "{name} has no claims"
         );
     }
 }
 
 #[test]
-fn a_bandwidth_is_read_in_bytes_a_second_whatever_its_unit() {
+fn a_bandwidth_in_any_unit_is_converted_to_bytes_per_second() {
     for (text, expected) in [("500B/s", 500.0), ("4kB/s", 4000.0)] {
         let case = parse(&format!(
             "name: \"x\" step {{ net {{ bandwidth: {text:?} }} }}"
         ))
         .unwrap();
-        let Step::Action(Action::SetNetwork { bandwidth, .. }) = case.steps[0] else {
+        let CaseStep::Action(Action::SetNetwork { bandwidth, .. }) = case.steps[0] else {
             panic!("{:?}", case.steps)
         };
         assert!((bandwidth - expected).abs() < 1e-6, "{text}: {bandwidth}");
@@ -56,9 +62,9 @@
 }
 
 #[test]
-fn each_problem_is_reported_with_its_place() {
-    let (_, good) = CASES[1];
-    for (from, to, expected) in [
+fn each_problem_is_reported_with_its_line_and_field() {
+    let (_, valid_text) = CASES[1];
+    for (text, replacement, expected) in [
         ("kill: \"dead\"", "kill: \"deaf\"", "names no fronts"),
         ("state: GONE", "", "has no state"),
         (
@@ -69,13 +75,13 @@
         ("kill: \"dead\"", "kil: \"dead\"", "kil"),
         ("claim: \"each death is known to all\"", "", "has no claim"),
     ] {
-        assert!(good.contains(from), "{from}");
-        let problems = parse(&good.replacen(from, to, 1)).unwrap_err();
+        assert!(valid_text.contains(text), "{text}");
+        let problems = parse(&valid_text.replacen(text, replacement, 1)).unwrap_err();
         assert!(
             problems
                 .iter()
                 .any(|p| p.what.contains(expected) && p.line > 1),
-            "{from}: {problems:?}"
+            "{text}: {problems:?}"
         );
     }
 }
--- a/crates/fault-simulation/src/simulated_network.rs
+++ b/crates/fault-simulation/src/simulated_network.rs
@@ -1,4 +1,5 @@
-//! A fleet in one process: members on a network in memory and a virtual clock. Everything that is drawn follows from one seed.
+//! A simulated fleet in one process: members on a network in memory, with a virtual clock. All random numbers come from one
+//! seed.
 mod member_config;
 mod processes;
 mod records;
@@ -11,86 +12,87 @@
 use crate::network_conditions::{Link, NetworkConditions};
 use crate::process_state::ProcessState;
 use crate::scenario::Case;
-use crate::simulated_process::{SentCounts, START_OF_TIME, USUAL_DELAY};
+use crate::simulated_process::{SentCounts, DEFAULT_DELAY, SIMULATION_START};
 use crankpaddle_membership::{MemberState, Membership, MembershipConfig, Output};
 use crankpaddle_time::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two looks at whether a condition holds.
+/// Virtual time between two evaluations of an awaited condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The epoch of restarted processes: their host's clock was set back.
+/// The epoch of restarted processes, in milliseconds. It is lower than that of the first processes, as if the host's clock had
+/// been set back.
 const RESTART_EPOCH: u64 = 500_000;
-/// Incarnations of restarted processes are counted from here on.
+/// Base of the incarnations of restarted processes, so that they differ from those of all first processes.
 const RESTART_INCARNATIONS: u64 = 1_000_000;
 
 enum Event {
     Datagram(SentDatagram),
-    Expiry { node: usize },
+    TimerExpiry { node: usize },
 }
 
-/// A process of the fleet.
+/// A process of the simulated fleet.
 pub struct SimulatedNode {
-    /// Its state machine.
+    /// The state machine of the process, as it also runs behind real sockets.
     pub membership: Membership,
     process: ProcessState<SentDatagram>,
     address: String,
     seeds: Vec<usize>,
-    expiry: Time, // Of the timer that is scheduled.
+    scheduled_expiry: Time, // Time of the only valid timer event; `Time::MAX` if there is none.
 }
 
-/// The network and the processes on it.
+/// A fleet of simulated processes and the network between them. Processes are numbered from 0.
 pub struct SimulatedNetwork {
-    /// The virtual clock.
+    /// Current time of the virtual clock.
     pub now: Time,
-    /// The processes, by number.
+    /// The processes, indexed by their number.
     pub nodes: Vec<SimulatedNode>,
-    /// Changes of members' views, in order.
+    /// All changes of members' views of each other, in chronological order.
     pub changes: Vec<ChangeRecord>,
-    /// Changes of members' own health, in order.
+    /// All changes of members' own health, in chronological order.
     pub health_changes: Vec<HealthRecord>,
-    /// The conditions of the network.
+    /// Faults, delay and bandwidth of the network.
     pub conditions: NetworkConditions,
-    /// Whether sent datagrams are captured.
+    /// Whether sent datagrams are added to `captured`; off at first.
     pub is_capturing: bool,
-    /// The captured datagrams.
+    /// Datagrams that were sent while capturing was on, for tests that send them again.
     pub captured: Vec<SentDatagram>,
     queue: EventQueue<Event>,
     rng: oorandom::Rand64,
-    numbers: BTreeMap<String, usize>, // By address.
+    numbers_by_address: BTreeMap<String, usize>,
     last_write: Option<LastWrite>,
     restarts: u64,
-    sent_before: Vec<SentCounts>, // By previous incarnations.
+    sent_by_previous: Vec<SentCounts>, // What the previous incarnations sent, indexed by the process's number.
 }
 
-/// The entry that was written last.
+/// Who wrote the latest entry of the gossip state, and when.
 struct LastWrite {
     node: usize,
     at: Time,
 }
 
 impl SimulatedNetwork {
-    /// An empty network.
+    /// A network without processes and without faults.
     #[must_use]
     pub fn new(seed: u64) -> SimulatedNetwork {
         SimulatedNetwork {
-            now: START_OF_TIME,
+            now: SIMULATION_START,
             nodes: Vec::new(),
             changes: Vec::new(),
             health_changes: Vec::new(),
-            conditions: NetworkConditions::good(USUAL_DELAY),
+            conditions: NetworkConditions::good(DEFAULT_DELAY),
             is_capturing: false,
             captured: Vec::new(),
             queue: EventQueue::default(),
             rng: oorandom::Rand64::new(u128::from(seed)),
-            numbers: BTreeMap::new(),
+            numbers_by_address: BTreeMap::new(),
             last_write: None,
             restarts: 0,
-            sent_before: Vec::new(),
+            sent_by_previous: Vec::new(),
         }
     }
 
-    /// A fleet of so many fronts that all join through the first.
+    /// A fleet of this many fronts that all join through front 0.
     #[must_use]
     pub fn with_fleet(fronts: usize, seed: u64) -> SimulatedNetwork {
         let mut network = SimulatedNetwork::new(seed);
@@ -100,21 +102,21 @@
         network
     }
 
-    /// A fleet of so many fronts for a case.
+    /// A fleet of this many fronts with the seeds of a case; fronts that do not run at the start of the case are killed.
     #[must_use]
     pub fn for_case(case: &Case, fronts: usize, seed: u64) -> SimulatedNetwork {
         let mut network = SimulatedNetwork::new(seed);
         let seeds = case.seeds.of(fronts);
         for number in 0..fronts {
             network.start(member_config(number, &seeds));
-            if !case.first.has(number, fronts) {
+            if !case.first.contains(number, fronts) {
                 network.kill(number);
             }
         }
         network
     }
 
-    /// Starts a process, in place of the one at its address if there is any; its number.
+    /// Starts a process and returns its number. A process at the same address is replaced.
     pub fn start(&mut self, config: MembershipConfig) -> usize {
         let address = config.address.clone();
         let seeds = config
@@ -128,9 +130,9 @@
             process: ProcessState::new(true),
             address: address.clone(),
             seeds,
-            expiry: Time::MAX,
+            scheduled_expiry: Time::MAX,
         };
-        let number = match self.numbers.get(&address).copied() {
+        let number = match self.numbers_by_address.get(&address).copied() {
             Some(number) => self.replace(number, node),
             None => self.add(address, node),
         };
@@ -139,7 +141,7 @@
     }
 
     fn replace(&mut self, number: usize, node: SimulatedNode) -> usize {
-        self.sent_before[number] = self.sent_counts(number);
+        self.sent_by_previous[number] = self.sent_counts(number);
         self.nodes[number] = node;
         number
     }
@@ -147,12 +149,12 @@
     fn add(&mut self, address: String, node: SimulatedNode) -> usize {
         let number = self.nodes.len();
         self.nodes.push(node);
-        self.sent_before.push(SentCounts::default());
-        self.numbers.insert(address, number);
+        self.sent_by_previous.push(SentCounts::default());
+        self.numbers_by_address.insert(address, number);
         number
     }
 
-    /// Calls a member's state machine, and carries out its outputs.
+    /// Calls a member's state machine, carries out its outputs and schedules its next timer.
     pub fn with_member<T>(
         &mut self,
         number: usize,
@@ -170,7 +172,7 @@
     fn carry_out_output(&mut self, number: usize, output: Output) {
         match output {
             Output::Send { address, bytes, .. } => {
-                let Some(to) = self.numbers.get(&address).copied() else {
+                let Some(to) = self.numbers_by_address.get(&address).copied() else {
                     return;
                 };
                 let datagram = SentDatagram {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Sends a datagram through the network.
+    /// Sends a datagram through the network, which may lose, delay or duplicate it.
     pub fn transmit(&mut self, datagram: SentDatagram) {
         let link = Link {
             from: datagram.from,
@@ -214,31 +216,31 @@
     fn schedule_expiry(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         let at = node.membership.next_expiry().max(self.now);
-        if at != node.expiry && at < Time::MAX {
-            node.expiry = at;
-            self.queue.schedule(at, Event::Expiry { node: number });
+        if at != node.scheduled_expiry && at < Time::MAX {
+            node.scheduled_expiry = at;
+            self.queue.schedule(at, Event::TimerExpiry { node: number });
         }
     }
 
-    /// Lets virtual time pass.
+    /// Advances the virtual clock by this time and handles all events up to then.
     pub fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while let Some((at, event)) = self.queue.pop_until(until) {
             self.now = self.now.max(at);
             match event {
                 Event::Datagram(datagram) => self.deliver(datagram),
-                Event::Expiry { node } => self.expire(node, at),
+                Event::TimerExpiry { node } => self.expire(node, at),
             }
         }
         self.now = until;
     }
 
-    /// Runs a member's timers, unless the event was overtaken by another one.
+    /// Runs a member's timers, unless the process does not run now or another timer event has replaced this one.
     fn expire(&mut self, number: usize, at: Time) {
         let node = &mut self.nodes[number];
         let can_run = node.process.is_running() && !node.process.is_paused();
-        if can_run && node.expiry == at {
-            node.expiry = Time::MAX;
+        if can_run && node.scheduled_expiry == at {
+            node.scheduled_expiry = Time::MAX;
             self.with_member(number, Membership::expire);
         }
     }
@@ -254,17 +256,17 @@
         });
     }
 
-    /// Ends a process without notice.
+    /// Ends a process abruptly, without a chance to announce that it leaves.
     pub fn kill(&mut self, number: usize) {
         self.nodes[number].process.kill();
     }
 
-    /// Pauses a process.
+    /// Pauses a process: it handles no datagrams and no timers.
     pub fn pause(&mut self, number: usize) {
         self.nodes[number].process.pause();
     }
 
-    /// Resumes a process: what its socket buffered is received first, then its timers run.
+    /// Resumes a process. It first receives the datagrams that its socket buffered, then runs its overdue timers.
     pub fn resume(&mut self, number: usize) {
         for datagram in self.nodes[number].process.resume() {
             self.deliver(datagram);
@@ -272,23 +274,23 @@
         self.with_member(number, Membership::expire);
     }
 
-    /// What a process sent, its previous incarnations included.
+    /// What a process sent, including its previous incarnations.
     fn sent_counts(&self, number: usize) -> SentCounts {
         let counters = self.nodes[number].membership.counters();
         let current = SentCounts {
             datagrams: counters.datagrams_sent,
             bytes: counters.bytes_sent,
         };
-        self.sent_before[number] + current
+        self.sent_by_previous[number] + current
     }
 
-    /// Whether each viewer sees each viewed front (except itself) in this state.
+    /// Whether each of the viewers sees each of the viewed fronts, except itself, in this state.
     #[must_use]
     pub fn all_see(&self, viewers: &[usize], viewed: &[usize], state: MemberState) -> bool {
         cluster::all_see(self, viewers, viewed, state)
     }
 
-    /// Advances until a condition holds; how long it took.
+    /// Advances the clock until a condition holds, and returns how long that took; `None` if it did not hold within the limit.
     pub fn advance_until(
         &mut self,
         within: Duration,
@@ -304,7 +306,7 @@
         None
     }
 
-    /// The members' views that changed to dead from a time on, in order.
+    /// All declarations of a member as dead at or after a time, in chronological order.
     #[must_use]
     pub fn accusations(&self, from: Time) -> Vec<Accusation> {
         self.changes
--- a/crates/fault-simulation/src/simulated_network/processes.rs
+++ b/crates/fault-simulation/src/simulated_network/processes.rs
@@ -1,4 +1,4 @@
-//! The simulated network's processes as scenarios control and see them.
+//! Control and observation of the simulated network's processes by cases.
 use super::{
     front_name, member_config, ChangeRecord, LastWrite, SimulatedNetwork, RESTART_EPOCH,
     RESTART_INCARNATIONS,
@@ -12,9 +12,9 @@
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// The key of the entry that a scenario writes.
+/// Key of the entry of the gossip state that a case writes.
 const ENTRY_KEY: u8 = 1;
-/// Its length, bytes.
+/// Length of that entry in bytes.
 const ENTRY_BYTES: usize = 100;
 
 impl SimulatedProcesses for SimulatedNetwork {
@@ -26,7 +26,7 @@
         self.nodes[front].process.is_running()
     }
 
-    /// Starts a process from nothing, on a host whose clock was set back.
+    /// Starts a process without any state of the previous one, on a host whose clock was set back.
     fn restart(&mut self, front: usize) {
         let seeds = self.nodes[front].seeds.clone();
         self.restarts += 1;
@@ -53,7 +53,7 @@
         SimulatedNetwork::resume(self, front);
     }
 
-    fn write(&mut self, front: usize) -> Result<(), ActionError> {
+    fn write_entry(&mut self, front: usize) -> Result<(), ActionError> {
         self.with_member(front, |member, now, _| {
             member.write(now, ENTRY_KEY, vec![7; ENTRY_BYTES])
         })?;
@@ -65,8 +65,8 @@
     }
 
     fn act_on_hosts(&mut self, _: &HostAction) -> Result<(), ActionError> {
-        let what = "only processes have disks and servers; play it without --virtual";
-        Err(ActionError::Unsupported(what.to_owned()))
+        let message = "power, disks and servers exist only with real processes; run the case without --virtual";
+        Err(ActionError::Unsupported(message.to_owned()))
     }
 
     fn advance(&mut self, time: Duration) {
@@ -95,7 +95,7 @@
             Some(MemberTransition {
                 at: record.at,
                 viewer: record.by,
-                viewed: *self.numbers.get(&record.change.name)?,
+                viewed: *self.numbers_by_address.get(&record.change.name)?,
                 state: record.change.state,
                 restarted: record.change.restarted,
             })
--- a/crates/fault-simulation/src/simulated_network/records.rs
+++ b/crates/fault-simulation/src/simulated_network/records.rs
@@ -1,45 +1,45 @@
-//! What a simulated network records.
+//! Records of what happened on a simulated network.
 use crankpaddle_membership::{LocalHealth, MemberChange};
 use crankpaddle_time::Time;
 
-/// A datagram in transit.
+/// A datagram that was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentDatagram {
-    /// The number of the sender.
+    /// Number of the sending process.
     pub from: usize,
-    /// The number of the receiver.
+    /// Number of the receiving process.
     pub to: usize,
-    /// The datagram.
+    /// Contents of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// A member's view of another changed.
+/// A change of a member's view of another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeRecord {
-    /// When, virtual time.
+    /// Virtual time of the change.
     pub at: Time,
-    /// The number of the member whose view it is.
+    /// Number of the member whose view changed.
     pub by: usize,
-    /// The change.
+    /// The other member's name and its new state.
     pub change: MemberChange,
 }
 
-/// A member's own health changed.
+/// A change of a member's own health.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HealthRecord {
-    /// When, virtual time.
+    /// Virtual time of the change.
     pub at: Time,
-    /// The number of the member.
+    /// Number of the member.
     pub node: usize,
-    /// Its health now.
+    /// The health after the change.
     pub health: LocalHealth,
 }
 
-/// A member declared another dead.
+/// A declaration of a member as dead by another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Accusation {
-    /// The number of the member that declared it.
+    /// Number of the member that declared the other one dead.
     pub by: usize,
-    /// The name of the member that was declared dead.
+    /// Name of the member that was declared dead.
     pub accused: String,
 }
--- a/crates/fault-simulation/src/simulated_process.rs
+++ b/crates/fault-simulation/src/simulated_process.rs
@@ -1,4 +1,5 @@
-//! Processes that are simulated in virtual time as a cluster for scenarios, whatever state machine they run.
+//! Runs cases on processes that are simulated in virtual time. The processes can run any state machine, so that other
+//! membership protocols can be compared in the same cases.
 use crate::cluster::{Cluster, EntryAge, MemberTransition, SendRate};
 use crate::error::ActionError;
 use crate::network_conditions::NetworkConditions;
@@ -9,20 +10,20 @@
 use std::ops::Add;
 use std::time::Duration;
 
-/// The usual transit time of a datagram.
-pub const USUAL_DELAY: DelayRange = DelayRange {
+/// Range of a datagram's transit time on a simulated network, if the case states none.
+pub const DEFAULT_DELAY: DelayRange = DelayRange {
     min: Duration::from_micros(200),
     max: Duration::from_millis(2),
 };
-/// When the virtual clock begins.
-pub const START_OF_TIME: Time = Time(100_000_000_000);
+/// The time of the virtual clock at the start of a run.
+pub const SIMULATION_START: Time = Time(100_000_000_000);
 
-/// What a process sent.
+/// The number of datagrams and bytes that a process sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentCounts {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total size of the datagrams in bytes.
     pub bytes: u64,
 }
 
@@ -46,47 +47,47 @@
     }
 }
 
-/// Control over simulated processes, and what can be seen of them. Each implementation is a [`Cluster`].
+/// Control and observation of simulated processes, which are numbered from 0. Each implementation is also a [`Cluster`].
 pub trait SimulatedProcesses {
-    /// How many processes there are, whether they run or not.
+    /// The number of processes, whether they run or not.
     fn count(&self) -> usize;
     /// Whether a process runs, paused or not.
     fn is_running(&self, front: usize) -> bool;
-    /// Starts a process as a new incarnation.
+    /// Starts a process as a new incarnation, in place of the previous one.
     fn restart(&mut self, front: usize);
-    /// Ends a process without notice.
+    /// Ends a process abruptly, without a chance to announce that it leaves.
     fn kill(&mut self, front: usize);
-    /// Makes a process announce that it leaves.
+    /// Makes a process announce that it leaves the fleet; it is not ended by this.
     fn leave(&mut self, front: usize);
-    /// Pauses a process.
+    /// Pauses a process: it handles no datagrams and no timers.
     fn pause(&mut self, front: usize);
-    /// Resumes a paused process.
+    /// Resumes a paused process, which receives what its socket buffered.
     fn resume(&mut self, front: usize);
-    /// Makes a process write its entry.
+    /// Makes a process write its entry of the gossip state.
     ///
     /// # Errors
-    /// There are no entries here.
-    fn write(&mut self, front: usize) -> Result<(), ActionError>;
+    /// The processes have no gossip state, or the write was rejected.
+    fn write_entry(&mut self, front: usize) -> Result<(), ActionError>;
     /// Carries out an action on hosts.
     ///
     /// # Errors
-    /// There are no hosts here.
+    /// The simulation has no hosts.
     fn act_on_hosts(&mut self, action: &HostAction) -> Result<(), ActionError>;
-    /// Lets virtual time pass.
+    /// Advances the virtual clock by this time.
     fn advance(&mut self, time: Duration);
-    /// The network between the processes.
+    /// The conditions of the network between the processes.
     fn conditions(&mut self) -> &mut NetworkConditions;
-    /// The virtual clock.
+    /// The current time of the virtual clock.
     fn clock(&self) -> Time;
-    /// The state that one process sees another in; `None`: it does not know it.
+    /// The state in which one process sees another; `None` if it doesn't know the other.
     fn member_state(&self, viewer: usize, viewed: usize) -> Option<MemberState>;
-    /// A process's own health; `None`: it does not estimate any.
+    /// A process's estimate of its own health; `None` if the protocol has no such estimate.
     fn own_health(&self, front: usize) -> Option<LocalHealth>;
-    /// The transitions from a time on, in order.
+    /// All changes of views at or after a time, in chronological order.
     fn transitions_since(&self, from: Time) -> Vec<MemberTransition>;
-    /// The age of the entry that was written last, as one process knows it; `None`: it does not.
+    /// The age of the gossip entry that was written last, as one process knows it; `None` if that process doesn't have it.
     fn last_entry_age(&self, reader: usize) -> Option<EntryAge>;
-    /// What a process sent, its previous incarnations included.
+    /// What a process sent, including its previous incarnations.
     fn sent_by(&self, front: usize) -> SentCounts;
 }
 
@@ -124,7 +125,7 @@
     }
 
     fn sent(&self) -> SendRate {
-        let elapsed = self.clock().duration_since(START_OF_TIME);
+        let elapsed = self.clock().duration_since(SIMULATION_START);
         let elapsed = elapsed.max(Duration::from_nanos(1));
         (0..self.count())
             .map(|front| self.sent_by(front).rate_over(elapsed))
@@ -153,11 +154,11 @@
         | Action::Partition { .. }
         | Action::Heal
         | Action::Flood { .. } => {
-            processes.conditions().act(action, count, USUAL_DELAY);
+            processes.conditions().act(action, count, DEFAULT_DELAY);
         }
-        Action::SelectBuild { .. } => {} // There is only one build in a simulation.
+        Action::SelectBuild { .. } => {} // A simulation has only one build.
         Action::Host(action) => processes.act_on_hosts(action)?,
-        Action::WriteEntry { front } => processes.write(*front)?,
+        Action::WriteEntry { front } => processes.write_entry(*front)?,
     }
     Ok(())
 }
--- a/crates/fault-simulation/tests/claims.rs
+++ b/crates/fault-simulation/tests/claims.rs
@@ -1,4 +1,5 @@
-//! The checks of claims are tested: for each kind a cluster in which it holds, and the nearest one in which it does not.
+//! Tests of the claim checks. Each kind of claim is checked on a scripted cluster in which it holds, and on one that differs
+//! only as far as needed for the claim to fail.
 use crankpaddle_fault_simulation::{
     parse, play, Action, ActionError, Cluster, EntryAge, MemberTransition, SendRate, MS,
 };
@@ -6,7 +7,7 @@
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// A cluster whose history is given: from when on each front sees each other in which state, and everything else likewise.
+/// A cluster that replays a given history of transitions, health changes and known entries, and records the actions.
 #[derive(Default)]
 struct ScriptedCluster {
     now: Time,
@@ -44,8 +45,8 @@
             .map_or(Some(MemberState::Alive), |t| Some(t.state))
     }
 
-    fn local_health(&self, at: usize) -> Option<LocalHealth> {
-        let known = |change: &&HealthChange| change.at <= self.now && change.front == at;
+    fn local_health(&self, front: usize) -> Option<LocalHealth> {
+        let known = |change: &&HealthChange| change.at <= self.now && change.front == front;
         self.health_changes
             .iter()
             .rfind(known)
@@ -82,7 +83,7 @@
     health: LocalHealth,
 }
 
-/// An entry that a front knows from a time on, with the error of its age.
+/// An entry that a front knows from a time on, and the error of the age that the front computes for it.
 struct KnownEntry {
     at: Time,
     front: usize,
@@ -101,9 +102,9 @@
     }
 }
 
-fn transition(at: u32, viewer: usize, viewed: usize, state: MemberState) -> MemberTransition {
+fn transition(at_ms: u32, viewer: usize, viewed: usize, state: MemberState) -> MemberTransition {
     MemberTransition {
-        at: Time(0) + at * MS,
+        at: Time(0) + at_ms * MS,
         viewer,
         viewed,
         state,
@@ -111,18 +112,19 @@
     }
 }
 
+/// Runs a case of one claim, with a measurement that begins a second before it; returns whether the claim holds.
 fn holds(step: &str, mut cluster: ScriptedCluster) -> bool {
     cluster.fronts = 4;
     let text = format!("name: \"x\" step {{ mark {{}} }} step {{ run: \"1s\" }} step {{ {step} }}");
     let case = parse(&text).unwrap_or_else(|p| panic!("{step}: {p:?}"));
     let result = play(&case, &mut cluster).unwrap();
-    let (held, all) = result.satisfied_claims();
-    assert_eq!((all, held == 1), (1, result.claims[0].holds));
+    let (satisfied, all) = result.satisfied_claims();
+    assert_eq!((all, satisfied == 1), (1, result.claims[0].holds));
     result.claims[0].holds
 }
 
 #[test]
-fn a_view_claim_holds_in_time_and_fails_through_a_single_front() {
+fn a_view_claim_holds_in_time_and_fails_if_one_front_is_late() {
     let step = r#"see { claim: "c" at: "!3" of: "3" state: GONE bound { within: "1s" } }"#;
     let gone = |times: [u32; 3]| ScriptedCluster {
         transitions: (0..3)
@@ -131,27 +133,30 @@
         ..ScriptedCluster::default()
     };
     assert!(holds(step, gone([1100, 1500, 1990])));
-    assert!(!holds(step, gone([1100, 1500, 2100])), "one is late");
-    assert!(!holds(step, gone([1100, 1500, 9000])), "one never sees it");
+    assert!(!holds(step, gone([1100, 1500, 2100])), "one front is late");
+    assert!(
+        !holds(step, gone([1100, 1500, 9000])),
+        "one front never sees it"
+    );
     let left = ScriptedCluster {
         transitions: (0..3)
             .map(|by| transition(1100, by, 3, MemberState::Left))
             .collect(),
         ..ScriptedCluster::default()
     };
-    assert!(!holds(step, left), "another state");
-    let grows =
+    assert!(!holds(step, left), "the front left, it is not dead");
+    let growing_bound =
         r#"see { claim: "c" at: "!3" of: "3" state: GONE bound { within: "1s" more: "500ms" } }"#;
     assert!(
-        holds(grows, gone([1100, 1500, 2400])),
-        "the bound has a part that grows"
+        holds(growing_bound, gone([1100, 1500, 2400])),
+        "the time limit grows with the fleet"
     );
 }
 
 #[test]
-fn accusations_count_from_the_mark_by_and_of_the_stated_fronts() {
+fn only_false_accusations_by_the_stated_fronts_since_the_mark_count() {
     let step = |more: &str| format!(r#"accused {{ claim: "c" by: "0-1" but: "3" {more} }}"#);
-    let of = |transitions: Vec<MemberTransition>| ScriptedCluster {
+    let with_transitions = |transitions: Vec<MemberTransition>| ScriptedCluster {
         transitions,
         now: Time(10),
         ..ScriptedCluster::default()
@@ -159,59 +164,67 @@
     assert!(
         holds(
             &step(""),
-            of(vec![transition(500, 0, 3, MemberState::Dead)])
+            with_transitions(vec![transition(500, 0, 3, MemberState::Dead)])
         ),
-        "rightly"
+        "the accused front is in `but`"
     );
     assert!(
         holds(
             &step(""),
-            of(vec![transition(500, 2, 1, MemberState::Dead)])
+            with_transitions(vec![transition(500, 2, 1, MemberState::Dead)])
         ),
-        "by another"
+        "the accuser is not in `by`"
     );
     assert!(
         holds(
             &step(""),
-            of(vec![transition(500, 0, 2, MemberState::Suspect)])
+            with_transitions(vec![transition(500, 0, 2, MemberState::Suspect)])
         ),
-        "only suspected"
+        "the front is only suspected"
     );
     assert!(
-        holds(&step(""), of(vec![transition(0, 0, 2, MemberState::Dead)])),
-        "before the mark"
+        holds(
+            &step(""),
+            with_transitions(vec![transition(0, 0, 2, MemberState::Dead)])
+        ),
+        "the accusation precedes the mark"
     );
     assert!(!holds(
         &step(""),
-        of(vec![transition(500, 0, 2, MemberState::Dead)])
+        with_transitions(vec![transition(500, 0, 2, MemberState::Dead)])
     ));
-    let both = || {
-        of(vec![
+    let two_accusations = || {
+        with_transitions(vec![
             transition(500, 0, 2, MemberState::Dead),
             transition(600, 1, 2, MemberState::Dead),
         ])
     };
-    assert!(holds(&step("most: 2"), both()) && !holds(&step("most: 1"), both()));
-    assert!(holds(&step("a_front: 0.5"), both()) && !holds(&step("a_front: 0.4"), both()));
+    assert!(
+        holds(&step("most: 2"), two_accusations()) && !holds(&step("most: 1"), two_accusations())
+    );
+    assert!(
+        holds(&step("a_front: 0.5"), two_accusations())
+            && !holds(&step("a_front: 0.4"), two_accusations())
+    );
 }
 
 #[test]
 fn claims_on_local_health_restarts_and_entries_hold_or_fail() {
-    let health = r#"stands { claim: "c" at: "0,1" as: CUT_OFF bound { within: "1s" } }"#;
-    let of = |health_changes| ScriptedCluster {
+    let health_step = r#"stands { claim: "c" at: "0,1" as: CUT_OFF bound { within: "1s" } }"#;
+    let with_health = |health_changes| ScriptedCluster {
         health_changes,
         ..ScriptedCluster::default()
     };
     assert!(holds(
-        health,
-        of(vec![
+        health_step,
+        with_health(vec![
             health_change(Time(0), 0, LocalHealth::Isolated),
             health_change(Time(0) + 1900 * MS, 1, LocalHealth::Isolated)
         ])
     ));
     assert!(!holds(
-        health,
-        of(vec![
+        health_step,
+        with_health(vec![
             health_change(Time(0), 0, LocalHealth::Isolated),
             health_change(Time(0), 1, LocalHealth::Degraded)
         ])
@@ -222,41 +235,39 @@
         restarted,
         ..transition(1200, by, 3, MemberState::Alive)
     };
-    let all = |last| ScriptedCluster {
-        transitions: vec![seen(0, true), seen(1, true), seen(2, last)],
+    let seen_by_all = |last_restarted| ScriptedCluster {
+        transitions: vec![seen(0, true), seen(1, true), seen(2, last_restarted)],
         ..ScriptedCluster::default()
     };
-    assert!(holds(restarted_step, all(true)));
+    assert!(holds(restarted_step, seen_by_all(true)));
     assert!(
-        !holds(restarted_step, all(false)),
-        "one takes it for the same life"
+        !holds(restarted_step, seen_by_all(false)),
+        "one front sees the previous incarnation"
     );
 
-    let known = r#"holds { claim: "c" part: 0.6 bound { within: "1s" } age_within: "200ms" }"#;
-    let of = |entries| ScriptedCluster {
+    let entry_step = r#"holds { claim: "c" part: 0.6 bound { within: "1s" } age_within: "200ms" }"#;
+    let exact_entry = |front| known_entry(Time(0), front, Duration::ZERO);
+    let with_entries = |entries| ScriptedCluster {
         entries,
         ..ScriptedCluster::default()
     };
     assert!(holds(
-        known,
-        of(vec![
-            known_entry(Time(0), 1, Duration::ZERO),
+        entry_step,
+        with_entries(vec![
+            exact_entry(1),
             known_entry(Time(0) + 1500 * MS, 2, 100 * MS)
         ])
     ));
     assert!(
-        !holds(known, of(vec![known_entry(Time(0), 1, Duration::ZERO)])),
-        "too few"
+        !holds(entry_step, with_entries(vec![exact_entry(1)])),
+        "too few fronts know the entry"
     );
     assert!(
         !holds(
-            known,
-            of(vec![
-                known_entry(Time(0), 1, Duration::ZERO),
-                known_entry(Time(0), 2, 300 * MS)
-            ])
+            entry_step,
+            with_entries(vec![exact_entry(1), known_entry(Time(0), 2, 300 * MS)])
         ),
-        "an age is wrong"
+        "the age error of one front is too large"
     );
 }
 
