--- a/crates/benchmark/src/account.rs
+++ b/crates/benchmark/src/account.rs
@@ -1,6 +1,6 @@
-//! The cost of the accounting of traffic: sessions that play on a simulated clock in one process, in alternating rounds with
-//! the accounting and without it.
-use crate::process::{cpu_seconds, resident};
+//! Measures the cost of usage accounting for traffic: simulated sessions play on a simulated clock in this process, in
+//! alternating rounds without the accounting and with it.
+use crate::process::{cpu_seconds, resident_bytes};
 use crankpaddle_cross_zone_traffic::budget::{FrontPosition, SharedBudget};
 use crankpaddle_cross_zone_traffic::cross_zone_admission::CrossZoneLimit;
 use crankpaddle_cross_zone_traffic::traffic_controller::{
@@ -13,23 +13,24 @@
 use std::time::{Duration, Instant};
 
 const SECOND: Duration = Duration::from_secs(1);
-const START: Time = Time(1_000_000 * 1_000_000_000);
-const SERVERS: u32 = 100;
-/// Sessions settled in one step: as many as a front settles.
-const STEP: usize = 512;
-/// Bytes sent to a session in a second.
+/// Time of the simulated clock at the start of each round.
+const CLOCK_START: Time = Time(1_000_000 * 1_000_000_000);
+const SERVER_COUNT: u32 = 100;
+/// Number of sessions that are settled in one step; the same as in a front.
+const SESSIONS_PER_STEP: usize = 512;
+/// Bytes that each session receives in a second.
 const BYTES_PER_SECOND: u64 = 200_000;
-/// Mean length of a session, seconds: in each second one in so many ends, and as many begin.
+/// Mean length of a session in seconds. In each second, the number of sessions divided by this length ends, and as many begin.
 const MEAN_SESSION_SECONDS: u64 = 60;
 
-/// How much is measured.
+/// The extent of the measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Number of active sessions.
+    /// Number of sessions that are active at the same time.
     pub sessions: u64,
-    /// Seconds of the simulated clock in each round.
+    /// Length of each round in seconds of the simulated clock.
     pub seconds: u64,
-    /// Rounds with the accounting, and as many without it, alternating.
+    /// Number of rounds with the accounting, and of rounds without it; the two kinds alternate. At least 1.
     pub rounds: usize,
 }
 
@@ -64,7 +65,7 @@
         }],
         report_delay: SECOND / 2,
     });
-    for server in 0..SERVERS {
+    for server in 0..SERVER_COUNT {
         controller.endpoint_listed(server, (server % 2) as u8, true);
     }
     controller
@@ -75,7 +76,7 @@
     AttemptUsage {
         id,
         number: 0,
-        server: (id % u64::from(SERVERS)) as u32,
+        server: (id % u64::from(SERVER_COUNT)) as u32,
         class,
         tenant: 0,
         group: 0,
@@ -83,58 +84,59 @@
     }
 }
 
-/// The result of a round, in seconds.
+/// The cost of one round.
 #[derive(Clone, Copy, Debug, Default)]
-struct Round {
-    /// Processor time.
-    cpu: f64,
-    /// Longest step of settling.
-    longest_step: f64,
-    /// Longest update of the budgets.
-    longest_tick: f64,
+struct RoundCost {
+    /// Processor time of this process during the round.
+    cpu_seconds: f64,
+    /// Duration of the longest single step of settling usage.
+    longest_step_seconds: f64,
+    /// Duration of the longest single update of the budgets.
+    longest_tick_seconds: f64,
 }
 
-/// Sessions on a simulated clock, with the accounting or without it.
-struct Load<'a> {
+/// The simulated sessions of one round, with the accounting or without it.
+struct SessionLoad<'a> {
     plan: &'a Plan,
+    /// The accounting; `None` in a round without it.
     controller: Option<&'a mut TrafficController>,
-    /// Bytes sent, by attempt.
+    /// Bytes sent so far, by attempt id.
     sent: BTreeMap<u64, u64>,
-    round: Round,
+    round: RoundCost,
 }
 
-impl<'a> Load<'a> {
-    fn new(plan: &'a Plan, mut controller: Option<&'a mut TrafficController>) -> Load<'a> {
+impl<'a> SessionLoad<'a> {
+    fn new(plan: &'a Plan, mut controller: Option<&'a mut TrafficController>) -> SessionLoad<'a> {
         if let Some(controller) = controller.as_deref_mut() {
             for id in 0..plan.sessions {
                 controller.attempt_started(attempt(id));
-                controller.session_established(id, START);
+                controller.session_established(id, CLOCK_START);
             }
         }
-        Load {
+        SessionLoad {
             plan,
             controller,
             sent: (0..plan.sessions).map(|id| (id, 0)).collect(),
-            round: Round::default(),
+            round: RoundCost::default(),
         }
     }
 
-    /// Runs for the plan's seconds.
-    fn play(mut self) -> io::Result<Round> {
+    /// Runs the round and returns its cost.
+    fn play(mut self) -> io::Result<RoundCost> {
         let pid = std::process::id();
         let before = cpu_seconds(pid)?;
         for second in 1..=self.plan.seconds {
-            let now = START + Duration::from_secs(second);
+            let now = CLOCK_START + Duration::from_secs(second);
             self.send(now);
             self.replace_oldest(now);
             self.settle(now);
             black_box(&self.sent);
         }
-        self.round.cpu = cpu_seconds(pid)? - before;
+        self.round.cpu_seconds = cpu_seconds(pid)? - before;
         Ok(self.round)
     }
 
-    /// Adds the bytes of a second to each session.
+    /// Adds the bytes of one second to each session.
     fn send(&mut self, now: Time) {
         for (id, bytes) in &mut self.sent {
             *bytes += BYTES_PER_SECOND;
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Ends the oldest sessions and begins as many.
+    /// Ends the oldest sessions and starts as many new ones.
     fn replace_oldest(&mut self, now: Time) {
         let count = (self.plan.sessions / MEAN_SESSION_SECONDS) as usize;
         let oldest: Vec<u64> = self.sent.keys().take(count).copied().collect();
@@ -161,7 +163,7 @@
         }
     }
 
-    /// The work of each second: budgets, then settling in steps.
+    /// Does the periodic work of the accounting: updates the budgets, then settles the usage of all sessions in steps.
     fn settle(&mut self, now: Time) {
         let Some(controller) = self.controller.as_deref_mut() else {
             return;
@@ -169,30 +171,34 @@
         let started = Instant::now();
         black_box(controller.tick(now));
         let round = &mut self.round;
-        round.longest_tick = round.longest_tick.max(started.elapsed().as_secs_f64());
+        round.longest_tick_seconds = round
+            .longest_tick_seconds
+            .max(started.elapsed().as_secs_f64());
         let mut is_complete = false;
         while !is_complete {
             let started = Instant::now();
-            is_complete = controller.settle_usage(now, STEP);
-            round.longest_step = round.longest_step.max(started.elapsed().as_secs_f64());
+            is_complete = controller.settle_usage(now, SESSIONS_PER_STEP);
+            round.longest_step_seconds = round
+                .longest_step_seconds
+                .max(started.elapsed().as_secs_f64());
         }
     }
 }
 
-/// The results of two rounds, without the accounting and with it.
-struct Pair {
-    cpu_without: f64,
-    with: Round,
+/// The costs of a round without the accounting and of the following round with it.
+struct RoundPair {
+    cpu_seconds_without: f64,
+    cost_with: RoundCost,
 }
 
-/// A row of the table: its name and the figure of a pair.
-type Row<'a> = (&'a str, &'a dyn Fn(&Pair) -> f64);
+/// A row of the table: its name, and the value that it shows for a pair of rounds.
+type Row<'a> = (&'a str, &'a dyn Fn(&RoundPair) -> f64);
 
-/// Median, least and most.
+/// Median, minimum and maximum of a list of values.
 struct Spread {
     median: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
 impl Spread {
@@ -200,72 +206,72 @@
         values.sort_by(f64::total_cmp);
         Spread {
             median: values[values.len() / 2],
-            least: values.first().copied().unwrap_or(0.0),
-            most: values.last().copied().unwrap_or(0.0),
+            min: values.first().copied().unwrap_or(0.0),
+            max: values.last().copied().unwrap_or(0.0),
         }
     }
 }
 
-/// Measures; returns the table and its heading as text.
+/// Runs the measurement and returns the table of its results, with a heading, as text.
 ///
 /// # Errors
-/// The figures of this process can't be read.
+/// The processor time or the memory of this process can't be read.
 ///
 /// # Panics
 /// The plan has no rounds.
 pub fn run(plan: &Plan) -> io::Result<String> {
     let pid = std::process::id();
     let mut pairs = Vec::new();
-    let mut memory = 0.0;
+    let mut bytes_per_session = 0.0;
     for number in 0..plan.rounds {
-        let without = Load::new(plan, None).play()?;
-        let resident_before = resident(pid)?;
+        let without = SessionLoad::new(plan, None).play()?;
+        let resident_before = resident_bytes(pid)?;
         let mut controller = controller();
-        let with = Load::new(plan, Some(&mut controller)).play()?;
+        let cost_with = SessionLoad::new(plan, Some(&mut controller)).play()?;
         if number == 0 {
-            // Why the first round: later ones reuse pages that the allocator kept.
-            let added = resident(pid)?.saturating_sub(resident_before);
-            memory = added as f64 / plan.sessions as f64;
+            // Memory is measured in the first round, because later rounds reuse pages that the allocator kept.
+            let added = resident_bytes(pid)?.saturating_sub(resident_before);
+            bytes_per_session = added as f64 / plan.sessions as f64;
         }
-        pairs.push(Pair {
-            cpu_without: without.cpu,
-            with,
+        pairs.push(RoundPair {
+            cpu_seconds_without: without.cpu_seconds,
+            cost_with,
         });
     }
-    Ok(text(plan, &pairs, memory))
+    Ok(format_table(plan, &pairs, bytes_per_session))
 }
 
-fn text(plan: &Plan, pairs: &[Pair], memory: f64) -> String {
+fn format_table(plan: &Plan, pairs: &[RoundPair], bytes_per_session: f64) -> String {
     let session_seconds = (plan.sessions * plan.seconds) as f64;
     let nanoseconds_each = |cpu: f64| cpu * 1e9 / session_seconds;
     let rows: [Row<'_>; 5] = [
         ("CPU a session second without, ns", &|pair| {
-            nanoseconds_each(pair.cpu_without)
+            nanoseconds_each(pair.cpu_seconds_without)
         }),
         ("CPU a session second with, ns", &|pair| {
-            nanoseconds_each(pair.with.cpu)
+            nanoseconds_each(pair.cost_with.cpu_seconds)
         }),
         ("added, ns", &|pair| {
-            nanoseconds_each(pair.with.cpu - pair.cpu_without)
+            nanoseconds_each(pair.cost_with.cpu_seconds - pair.cpu_seconds_without)
         }),
         ("longest step of settling, us", &|pair| {
-            pair.with.longest_step * 1e6
+            pair.cost_with.longest_step_seconds * 1e6
         }),
         ("longest look at the budgets, us", &|pair| {
-            pair.with.longest_tick * 1e6
+            pair.cost_with.longest_tick_seconds * 1e6
         }),
     ];
     let mut text = format!(
         "{} sessions, {} s of a given clock, {} rounds in turns\n| | median | least to most |\n| --- | --- | --- |\n",
         plan.sessions, plan.seconds, plan.rounds
     );
-    for (name, figure) in rows {
-        let spread = Spread::of(pairs.iter().map(figure).collect());
+    for (name, value) in rows {
+        let spread = Spread::of(pairs.iter().map(value).collect());
         text += &format!(
             "| {name} | {:.1} | {:.1} to {:.1} |\n",
-            spread.median, spread.least, spread.most
+            spread.median, spread.min, spread.max
         );
     }
-    text += &format!("memory a session: {memory:.0} bytes\n");
+    text += &format!("memory a session: {bytes_per_session:.0} bytes\n");
     text
 }
--- a/crates/benchmark/src/bench/mod.rs
+++ b/crates/benchmark/src/bench/mod.rs
@@ -1,4 +1,5 @@
-//! The comparison: front and relay in alternating rounds, against the same stand-in servers, which answer at once.
+//! The comparison of a front with the relay. Both are measured in alternating rounds against the same stand-in servers, which
+//! answer without delay.
 mod load;
 mod report;
 mod target;
@@ -8,46 +9,46 @@
 use crankpaddle_testbed::script::{fleet_config, front_block, FLEET};
 use crankpaddle_testbed::server::{Fleet, Layout};
 use load::Clients;
-use report::{median, Side, Sides};
+use report::{median, Comparison, SideResult};
 use std::io;
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::Arc;
 use std::time::Duration;
-use target::Target;
+use target::MeasuredProcess;
 
-/// Length of a segment of the stand-in servers.
-const SEGMENT: Duration = Duration::from_secs(1);
-/// Delay of changes of the endpoint list.
-const LIST_DELAY: Duration = Duration::from_millis(100);
-/// Time in which a started front has received the endpoint list.
-const LIST_RECEIVED_WITHIN: Duration = Duration::from_secs(1);
+/// Length of the media segments of the stand-in servers.
+const SEGMENT_LENGTH: Duration = Duration::from_secs(1);
+/// Delay with which the list service publishes changes of the endpoint list.
+const LIST_CHANGE_DELAY: Duration = Duration::from_millis(100);
+/// Wait after the start of a front, until it has received the endpoint list.
+const LIST_RECEIPT_TIME: Duration = Duration::from_secs(1);
 
-/// How much is measured.
+/// The programs to measure and the extent of the measurement.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program: `EXE front -c FILE`, `EXE lab relay ADDRESS...`.
+    /// The program to run, as `EXE front -c FILE` and as `EXE lab relay ADDRESS...`.
     pub exe: PathBuf,
-    /// Directory for the configuration.
+    /// Directory for the front's configuration; created if it does not exist.
     pub dir: PathBuf,
-    /// Rounds of each side, alternating.
+    /// Number of rounds for the front, and as many for the relay; the two alternate.
     pub rounds: usize,
-    /// Seconds of a round.
+    /// Length of a round in seconds.
     pub seconds: u64,
-    /// Idle connections.
+    /// Number of connections without a session that are opened to measure their memory use.
     pub idle: usize,
-    /// Established sessions.
+    /// Number of sessions that are opened to measure their memory use.
     pub sessions: usize,
-    /// The front's log level.
+    /// The front's log level, as its configuration names it.
     pub log: String,
 }
 
 /// The result of a comparison.
 #[derive(Clone, Debug)]
 pub struct Measured {
-    /// The table, and the failures of both sides.
+    /// The table, followed by the failures of the front and of the relay.
     pub text: String,
-    /// The larger ratio of failed set-ups of the two sides.
+    /// Fraction of set-ups that failed, from 0 to 1: that of the front or of the relay, whichever is larger.
     pub failed: f64,
 }
 
@@ -55,56 +56,65 @@
 struct Environment {
     exe: PathBuf,
     fleet: Arc<Fleet>,
-    _list: Arc<ListService>,
+    _list_service: Arc<ListService>, // Kept so that the service runs as long as the servers.
     configuration: PathBuf,
 }
 
 impl Environment {
     fn start(plan: &Plan) -> io::Result<Environment> {
         std::fs::create_dir_all(&plan.dir)?;
-        let text = fleet_text(&plan.log);
-        let config = fleet_config(&text).map_err(|p| io::Error::other(format!("{p:?}")))?;
+        let text = fleet_config_text(&plan.log);
+        let config =
+            fleet_config(&text).map_err(|problems| io::Error::other(format!("{problems:?}")))?;
         let config = Arc::new(config);
         let layout = Layout {
             count: 12,
             cores: 64,
             work: Duration::ZERO,
             uneven: 0.0,
-            segment: SEGMENT,
+            segment: SEGMENT_LENGTH,
             seed: 1,
         };
         let fleet = Fleet::start(config.clone(), &layout, Recorder::default())?;
-        let list = ListService::start_for(&fleet, LIST_DELAY)?;
-        let block = front_block(0, 1, &config.zones[0], &list.address.to_string(), "");
+        let list_service = ListService::start_for(&fleet, LIST_CHANGE_DELAY)?;
+        let block = front_block(
+            0,
+            1,
+            &config.zones[0],
+            &list_service.address.to_string(),
+            "",
+        );
         let block = block.replacen("front {", "front {\n  workers: 1", 1);
         let configuration = plan.dir.join("measured.textproto");
         std::fs::write(&configuration, format!("{block}{text}"))?;
         Ok(Environment {
             exe: plan.exe.clone(),
             fleet,
-            _list: list,
+            _list_service: list_service,
             configuration,
         })
     }
 
-    fn start_front(&self) -> io::Result<Target> {
+    fn start_front(&self) -> io::Result<MeasuredProcess> {
         let mut command = Command::new(&self.exe);
         command.args(["front", "-c"]).arg(&self.configuration);
-        Target::start(command)
+        MeasuredProcess::start(command)
     }
 
-    fn start_relay(&self) -> io::Result<Target> {
+    fn start_relay(&self) -> io::Result<MeasuredProcess> {
         let mut command = Command::new(&self.exe);
         let servers = self.fleet.servers.iter().map(|s| s.address.to_string());
         command.args(["lab", "relay"]).args(servers);
-        Target::start(command)
+        MeasuredProcess::start(command)
     }
 }
 
-/// The fleet's configuration, with enough capacity that no set-up is rejected: the front is measured, not the model.
+/// The fleet's configuration, with enough capacity that no set-up is rejected, because the front is measured and not the
+/// servers' capacity model.
 ///
-/// Why not more than large machines have: the time to size regions grows with their slots (47 ms for 100,000).
-fn fleet_text(log_level: &str) -> String {
+/// The capacity is no larger than that of large machines, because the time to size regions grows with the number of their
+/// slots (47 ms for 100,000 slots).
+fn fleet_config_text(log_level: &str) -> String {
     FLEET
         .replace("places: 26", "places: 400")
         .replace("links: \"14400kB/s\"", "links: \"480MB/s\"")
@@ -114,22 +124,23 @@
         .replace("level: \"info\"", &format!("level: {log_level:?}"))
 }
 
-/// Measures both sides; returns the table.
+/// Measures the front and the relay, and returns the table.
 ///
 /// # Errors
-/// A process or a stand-in could not be started, or a process's figures can't be read.
+/// A process, a stand-in server or the list service could not be started, or the processor time or memory of a process can't be
+/// read.
 pub fn run(plan: &Plan) -> io::Result<Measured> {
     let environment = Environment::start(plan)?;
     let clients = Clients::new();
-    let (mut front, mut relay) = (Side::default(), Side::default());
+    let (mut front, mut relay) = (SideResult::default(), SideResult::default());
     let latency_rate =
         measure_throughput_and_latency(plan, &environment, &clients, &mut front, &mut relay)?;
-    let (front_target, relay_target) = (environment.start_front()?, environment.start_relay()?);
-    std::thread::sleep(LIST_RECEIVED_WITHIN);
-    let front_memory = clients.memory(&front_target, plan.idle, plan.sessions)?;
-    let relay_memory = clients.memory(&relay_target, plan.idle, plan.sessions)?;
+    let (front_process, relay_process) = (environment.start_front()?, environment.start_relay()?);
+    std::thread::sleep(LIST_RECEIPT_TIME);
+    let front_memory = clients.memory(&front_process, plan.idle, plan.sessions)?;
+    let relay_memory = clients.memory(&relay_process, plan.idle, plan.sessions)?;
     let failed = front.failures.ratio().max(relay.failures.ratio());
-    let sides = Sides {
+    let comparison = Comparison {
         front,
         relay,
         latency_rate,
@@ -137,32 +148,32 @@
         relay_memory,
     };
     Ok(Measured {
-        text: report::text(plan, &sides),
+        text: report::format_table(plan, &comparison),
         failed,
     })
 }
 
-/// Measures the throughput of both sides, then their latencies at half the front's throughput; returns that rate.
+/// Measures the throughput of both processes, then their latencies at half the front's median throughput. Returns that rate.
 fn measure_throughput_and_latency(
     plan: &Plan,
     environment: &Environment,
     clients: &Clients,
-    front: &mut Side,
-    relay: &mut Side,
+    front: &mut SideResult,
+    relay: &mut SideResult,
 ) -> io::Result<f64> {
-    let (front_target, relay_target) = (environment.start_front()?, environment.start_relay()?);
-    std::thread::sleep(LIST_RECEIVED_WITHIN);
+    let (front_process, relay_process) = (environment.start_front()?, environment.start_relay()?);
+    std::thread::sleep(LIST_RECEIPT_TIME);
     for _ in 0..plan.rounds {
-        for (side, target) in [(&mut *front, &front_target), (&mut *relay, &relay_target)] {
-            let throughput = clients.throughput(target, plan.seconds, &mut side.failures)?;
+        for (side, process) in [(&mut *front, &front_process), (&mut *relay, &relay_process)] {
+            let throughput = clients.throughput(process, plan.seconds, &mut side.failures)?;
             side.rates.push(throughput.rate);
             side.cpu_us.push(throughput.cpu_us);
         }
     }
     let rate = median(&front.rates) / 2.0;
     for _ in 0..plan.rounds {
-        for (side, target) in [(&mut *front, &front_target), (&mut *relay, &relay_target)] {
-            let latencies = clients.latencies(target, rate, plan.seconds, &mut side.failures)?;
+        for (side, process) in [(&mut *front, &front_process), (&mut *relay, &relay_process)] {
+            let latencies = clients.latencies(process, rate, plan.seconds, &mut side.failures)?;
             side.latencies.push(latencies);
         }
     }
--- a/crates/benchmark/src/bench/target.rs
+++ b/crates/benchmark/src/bench/target.rs
@@ -1,18 +1,18 @@
-//! The measured process: the front or the relay.
+//! The process that is measured: a front or a relay.
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 
-/// A process that listens; it is killed when this is dropped.
-pub(super) struct Target {
+/// A child process that listens for clients; it is killed when this value is dropped.
+pub(super) struct MeasuredProcess {
     child: Child,
-    /// Where it listens.
+    /// Address on which the process listens.
     pub(super) address: SocketAddr,
 }
 
-impl Target {
-    /// Starts a process and waits for its line `listening ADDRESS`.
-    pub(super) fn start(mut command: Command) -> io::Result<Target> {
+impl MeasuredProcess {
+    /// Starts a process and waits until it prints the line `listening ADDRESS`.
+    pub(super) fn start(mut command: Command) -> io::Result<MeasuredProcess> {
         let mut child = command
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -27,20 +27,22 @@
             .strip_prefix("listening ")
             .and_then(|address| address.parse().ok());
         match address {
-            Some(address) => Ok(Target { child, address }),
-            None => Err(io::Error::other(format!("it did not start: {line}"))),
+            Some(address) => Ok(MeasuredProcess { child, address }),
+            None => Err(io::Error::other(format!(
+                "the process did not report its address; its first line: {line:?}"
+            ))),
         }
     }
 
-    /// Its process id.
+    /// The process id, for measurements.
     pub(super) fn pid(&self) -> u32 {
         self.child.id()
     }
 }
 
-impl Drop for Target {
+impl Drop for MeasuredProcess {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // It may have ended.
+        let _ = self.child.kill(); // The error is ignored, because the process may have ended already.
         let _ = self.child.wait();
     }
 }
--- a/crates/benchmark/src/failures.rs
+++ b/crates/benchmark/src/failures.rs
@@ -1,14 +1,14 @@
-//! Failed set-ups of a measurement, counted by cause: a few don't end the run, and many show in its result.
+//! Counts the failed set-ups of a measurement by cause. A failure does not end the run; the result reports all of them.
 use crankpaddle_session_api::client::ClientEvent;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io;
 use thiserror::Error;
 
-/// Why a set-up of a measurement failed.
+/// The cause of a set-up's failure. Its text is the key by which failures are counted and reported.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum SetUpFailure {
-    /// The connection could not be made, written or read.
+    /// The connection could not be established, written to or read from.
     #[error("{action}: {kind}")]
     Connection {
         /// The failed operation: connect, write or read.
@@ -16,19 +16,19 @@
         /// The kind of the I/O error.
         kind: io::ErrorKind,
     },
-    /// The front rejected it.
+    /// The front rejected the set-up, which had no effect.
     #[error("refused, {reason}")]
     Rejected {
         /// The reason that the answer states.
         reason: String,
     },
-    /// It failed after an attempt.
+    /// The set-up failed, perhaps after an attempt that had an effect at a server.
     #[error("failed, {reason}")]
     Failed {
         /// The reason that the answer states.
         reason: String,
     },
-    /// The call itself was in error.
+    /// The call was answered with a JSON-RPC error of another kind.
     #[error("error {code}")]
     Call {
         /// The JSON-RPC error code.
@@ -40,16 +40,16 @@
         /// The reason that the notification states.
         reason: String,
     },
-    /// An event was received that is no answer to the call.
+    /// An event was received that does not answer the call.
     #[error("unexpected {event}")]
     Unexpected {
-        /// The name of the event.
+        /// Variant name of the event.
         event: String,
     },
 }
 
 impl SetUpFailure {
-    /// The failure of an operation on the connection.
+    /// Returns the failure of an operation (connect, write or read) on the connection.
     pub fn connection(action: &'static str, error: &io::Error) -> SetUpFailure {
         SetUpFailure::Connection {
             action,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The failure that an event stands for.
+    /// Converts an event that was received instead of the expected answer.
     pub fn from_event(event: &ClientEvent) -> SetUpFailure {
         match event {
             ClientEvent::Refused { reason, .. } => SetUpFailure::Rejected {
@@ -77,13 +77,13 @@
     }
 }
 
-/// The name of an event's variant.
+/// The name of an event's variant, taken from its debug text.
 fn variant_name(event: &ClientEvent) -> String {
     let text = format!("{event:?}");
     text.split([' ', '{']).next().unwrap_or("answer").to_owned()
 }
 
-/// Number of set-ups, and of the failed ones by the text of their cause.
+/// The number of set-ups, and the number of failures for each cause. The display text lists both.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Failures {
     attempted: u64,
@@ -91,7 +91,7 @@
 }
 
 impl Failures {
-    /// Counts the result of a set-up.
+    /// Counts one set-up, and its cause if it failed.
     pub fn record<T>(&mut self, result: &Result<T, SetUpFailure>) {
         self.attempted += 1;
         if let Err(cause) = result {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Failed set-ups over all; 0 where there was none.
+    /// Fraction of the set-ups that failed, from 0 to 1; 0 if there was no set-up.
     pub fn ratio(&self) -> f64 {
         self.count() as f64 / self.attempted.max(1) as f64
     }
--- a/crates/benchmark/src/process.rs
+++ b/crates/benchmark/src/process.rs
@@ -1,20 +1,21 @@
-//! Processor time and memory of a process, from the kernel.
+//! Processor time and memory use of a process, read from `/proc`.
 use std::fs;
 use std::io;
 
-/// Index of the time in user mode among the fields of `/proc/PID/stat` after the command's name.
+/// Index of the user-mode time among the fields of `/proc/PID/stat` that follow the command's name.
 const USER_TIME_FIELD: usize = 11;
-/// Index of the time in the kernel among those fields.
+/// Index of the kernel-mode time among the same fields.
 const SYSTEM_TIME_FIELD: usize = 12;
+/// Unit of these times: Linux reports them in hundredths of a second.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Processor time that a process has used, seconds; the kernel counts in hundredths.
+/// Processor time in seconds that a process has used since its start, with a resolution of 10 ms.
 ///
 /// # Errors
-/// The process is gone.
+/// The file of the process can't be read, for example because the process has ended.
 pub fn cpu_seconds(pid: u32) -> io::Result<f64> {
     let text = fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The command's name may contain spaces; the fields after its closing bracket don't.
+    // The command's name may contain spaces, so the fields are split only after the bracket that closes it.
     let fields: Vec<&str> = text
         .rsplit(')')
         .next()
@@ -30,20 +31,20 @@
     Ok((ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) / TICKS_PER_SECOND)
 }
 
-/// Resident memory of a process, bytes.
+/// Resident memory of a process in bytes.
 ///
 /// # Errors
-/// The process is gone.
-pub fn resident(pid: u32) -> io::Result<u64> {
+/// The file of the process can't be read, for example because the process has ended.
+pub fn resident_bytes(pid: u32) -> io::Result<u64> {
     let text = fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
         .unwrap_or("0");
-    let kb: u64 = line
+    let kilobytes: u64 = line
         .split_whitespace()
         .next()
         .and_then(|n| n.parse().ok())
         .unwrap_or(0);
-    Ok(kb * 1024)
+    Ok(kilobytes * 1024)
 }
--- a/crates/benchmark/src/relay.rs
+++ b/crates/benchmark/src/relay.rs
@@ -1,4 +1,5 @@
-//! The baseline: receives the same calls over WebSocket as a front and forwards each to the next server, without decisions.
+//! The baseline of the benchmark: receives the same calls over WebSocket as a front and forwards each open request to the next
+//! server in turn, without any decisions.
 use crankpaddle_http::head;
 use crankpaddle_net::exchange::{ExchangeError, HttpExchange};
 use crankpaddle_net::{accept_each, listen, Socket, WriteBuffer};
@@ -17,16 +18,16 @@
 use tungstenite::Message;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of a connection's read buffer, as in the front.
-const READ_BUFFER: usize = 1024;
-/// Bytes that a connection may have unsent.
-const SEND_BUFFER: usize = 64 * 1024;
-/// Longest response body of a server, bytes.
-const MAX_BODY: u64 = 64 * 1024;
-/// The status with which a server answers a set-up.
+/// Size of a client connection's read buffer; the same as in the front.
+const READ_BUFFER_BYTES: usize = 1024;
+/// Most bytes that may wait to be sent on a client connection; beyond that the connection fails.
+const SEND_BUFFER_BYTES: usize = 64 * 1024;
+/// Longest response body that is accepted from a server.
+const MAX_BODY_BYTES: u64 = 64 * 1024;
+/// HTTP status with which a server confirms a set-up.
 const STATUS_CREATED: u16 = 201;
 
-/// Why a relayed connection ended.
+/// The error that ended a client's connection.
 #[derive(Debug, Error)]
 enum ConnectionError {
     #[error("{0}")]
@@ -37,27 +38,28 @@
     Json(#[from] serde_json::Error),
 }
 
-/// Where a session is.
+/// The server of a session, and the session's name there.
 struct RelayedSession {
     server: SocketAddr,
-    /// The session's name at its server.
+    /// Name of the session at the server, unlike the id that the client has.
     name: String,
 }
 
 struct Relay {
     servers: Vec<SocketAddr>,
-    /// Number of the next open request.
-    next: AtomicUsize,
-    /// Idle connections to servers.
-    idle: Mutex<HashMap<SocketAddr, Vec<Arc<Socket>>>>,
-    /// Sessions by the id that clients have.
+    /// Number of the next open request; it selects the server and forms the session's id.
+    next_request: AtomicUsize,
+    /// Idle connections to each server, for reuse.
+    idle_connections: Mutex<HashMap<SocketAddr, Vec<Arc<Socket>>>>,
+    /// Open sessions, by the id that the client has.
     sessions: Mutex<HashMap<String, RelayedSession>>,
 }
 
-/// A client's connection as the WebSocket codec reads and writes it.
-struct Stream<'a>(&'a WriteBuffer);
+/// A client's connection as the WebSocket library reads and writes it. Written bytes that the kernel does not accept at once are
+/// held and sent before the next read.
+struct BufferedStream<'a>(&'a WriteBuffer);
 
-impl Read for Stream<'_> {
+impl Read for BufferedStream<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         loop {
             self.0.flush();
@@ -69,7 +71,7 @@
     }
 }
 
-impl Write for Stream<'_> {
+impl Write for BufferedStream<'_> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if self.0.push(bytes) {
             Ok(bytes.len())
@@ -83,21 +85,21 @@
     }
 }
 
-/// Starts a relay to these servers on a free port.
+/// Starts a relay to these servers on a free local port and returns its address.
 ///
 /// # Errors
-/// No port can be listened on.
+/// The relay can't listen on a local port.
 pub fn start(servers: Vec<SocketAddr>) -> io::Result<SocketAddr> {
     let listener = listen(([127, 0, 0, 1], 0).into())?;
     let address = listener.local_addr()?;
     let relay = Relay {
         servers,
-        next: AtomicUsize::new(0),
-        idle: Mutex::default(),
+        next_request: AtomicUsize::new(0),
+        idle_connections: Mutex::default(),
         sessions: Mutex::default(),
     };
     accept_each(listener, Arc::default(), move |socket| {
-        let _ = relay.serve(Arc::new(socket)); // Why ignored: the client sees the end of its connection.
+        let _ = relay.serve(Arc::new(socket)); // The error is ignored, because the client sees that its connection ends.
     });
     Ok(address)
 }
@@ -119,19 +121,22 @@
             ("sec-websocket-accept", accepted.as_str()),
             ("sec-websocket-protocol", Version::V2.subprotocol()),
         ];
-        let outbox = WriteBuffer::new(socket, SEND_BUFFER);
+        let outbox = WriteBuffer::new(socket, SEND_BUFFER_BYTES);
         outbox.push(&head::response(101, &fields, b""));
         let config = WebSocketConfig::default()
-            .read_buffer_size(READ_BUFFER)
+            .read_buffer_size(READ_BUFFER_BYTES)
             .write_buffer_size(0);
         let mut context =
             WebSocketContext::from_partially_read(exchange.into_rest(), Role::Server, Some(config));
         loop {
-            let read = context.read(&mut Stream(&outbox))?;
+            let read = context.read(&mut BufferedStream(&outbox))?;
             if let Message::Text(text) = read {
                 let call: Value = serde_json::from_str(&text)?;
                 let answer = self.answer(&call);
-                context.write(&mut Stream(&outbox), Message::text(answer.to_string()))?;
+                context.write(
+                    &mut BufferedStream(&outbox),
+                    Message::text(answer.to_string()),
+                )?;
             }
         }
     }
@@ -164,9 +169,9 @@
         }
     }
 
-    /// Forwards an open to the next server; `None` where that does not set the session up.
+    /// Forwards an open request to the next server. Returns the result for the client; `None` if the server does not confirm.
     fn open(&self, params: &Value) -> Option<Value> {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         let server = self.servers[number % self.servers.len()];
         let text = |field: &str| params[field].as_str().unwrap_or("").to_owned();
         let (name, session) = (format!("relayed-{number:x}"), format!("s-{number}"));
@@ -189,10 +194,10 @@
         Some(json!({"session": session, "media": media, "rung": 0}))
     }
 
-    /// Sends a request over an idle connection or a new one; returns the status of the response.
+    /// Sends a request over an idle connection or a new one, and returns the HTTP status; `None` if there is no response.
     fn exchange(&self, server: SocketAddr, bytes: &[u8]) -> Option<u16> {
         let idle = self
-            .idle
+            .idle_connections
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .get_mut(&server)
@@ -202,9 +207,14 @@
             None => Arc::new(Socket::connect(&server, CONNECT_TIMEOUT).ok()?),
         };
         socket.write_all(bytes).ok()?;
-        let (response, _) = HttpExchange::new(socket.clone()).response(MAX_BODY).ok()?;
+        let (response, _) = HttpExchange::new(socket.clone())
+            .response(MAX_BODY_BYTES)
+            .ok()?;
         if response.keeps_alive() {
-            let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut idle = self
+                .idle_connections
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             idle.entry(server).or_default().push(socket);
         }
         Some(response.status)
