--- a/crates/benchmark/src/account.rs
+++ b/crates/benchmark/src/account.rs
@@ -34,6 +34,7 @@
     pub rounds: usize,
 }
 
+/// A traffic controller for servers in two zones, with a paid and an unpaid class and a very large budget between the zones.
 fn controller() -> TrafficController {
     let shared = SharedBudget {
         rate_kb: 1e9,
@@ -71,6 +72,7 @@
     controller
 }
 
+/// The attempt with this id: two of three are of the class that is not paid, and servers are used in turn.
 fn attempt(id: u64) -> AttemptUsage {
     let class = u8::from(!id.is_multiple_of(3));
     AttemptUsage {
@@ -101,8 +103,8 @@
     /// The accounting; `None` in a round without it.
     controller: Option<&'a mut TrafficController>,
     /// Bytes sent so far, by attempt id.
-    sent: BTreeMap<u64, u64>,
-    round: RoundCost,
+    sent_bytes: BTreeMap<u64, u64>,
+    cost: RoundCost,
 }
 
 impl<'a> SessionLoad<'a> {
@@ -116,29 +118,29 @@
         SessionLoad {
             plan,
             controller,
-            sent: (0..plan.sessions).map(|id| (id, 0)).collect(),
-            round: RoundCost::default(),
+            sent_bytes: (0..plan.sessions).map(|id| (id, 0)).collect(),
+            cost: RoundCost::default(),
         }
     }
 
     /// Runs the round and returns its cost.
     fn play(mut self) -> io::Result<RoundCost> {
         let pid = std::process::id();
-        let before = cpu_seconds(pid)?;
+        let cpu_before = cpu_seconds(pid)?;
         for second in 1..=self.plan.seconds {
             let now = CLOCK_START + Duration::from_secs(second);
             self.send(now);
             self.replace_oldest(now);
             self.settle(now);
-            black_box(&self.sent);
+            black_box(&self.sent_bytes);
         }
-        self.round.cpu_seconds = cpu_seconds(pid)? - before;
-        Ok(self.round)
+        self.cost.cpu_seconds = cpu_seconds(pid)? - cpu_before;
+        Ok(self.cost)
     }
 
     /// Adds the bytes of one second to each session.
     fn send(&mut self, now: Time) {
-        for (id, bytes) in &mut self.sent {
+        for (id, bytes) in &mut self.sent_bytes {
             *bytes += BYTES_PER_SECOND;
             if let Some(controller) = self.controller.as_deref_mut() {
                 controller.bytes_counted(*id, *bytes, now);
@@ -149,16 +151,16 @@
     /// Ends the oldest sessions and starts as many new ones.
     fn replace_oldest(&mut self, now: Time) {
         let count = (self.plan.sessions / MEAN_SESSION_SECONDS) as usize;
-        let oldest: Vec<u64> = self.sent.keys().take(count).copied().collect();
+        let oldest: Vec<u64> = self.sent_bytes.keys().take(count).copied().collect();
         for id in oldest {
-            let bytes = self.sent.remove(&id).unwrap_or(0);
-            let next = id + self.plan.sessions;
-            self.sent.insert(next, 0);
+            let bytes = self.sent_bytes.remove(&id).unwrap_or(0);
+            let next_id = id + self.plan.sessions;
+            self.sent_bytes.insert(next_id, 0);
             if let Some(controller) = self.controller.as_deref_mut() {
                 controller.attempt_ended(id, AttemptEnd::Completed, now);
                 controller.final_bytes_counted(id, bytes, now);
-                controller.attempt_started(attempt(next));
-                controller.session_established(next, now);
+                controller.attempt_started(attempt(next_id));
+                controller.session_established(next_id, now);
             }
         }
     }
@@ -170,15 +172,15 @@
         };
         let started = Instant::now();
         black_box(controller.tick(now));
-        let round = &mut self.round;
-        round.longest_tick_seconds = round
+        let cost = &mut self.cost;
+        cost.longest_tick_seconds = cost
             .longest_tick_seconds
             .max(started.elapsed().as_secs_f64());
         let mut is_complete = false;
         while !is_complete {
             let started = Instant::now();
             is_complete = controller.settle_usage(now, SESSIONS_PER_STEP);
-            round.longest_step_seconds = round
+            cost.longest_step_seconds = cost
                 .longest_step_seconds
                 .max(started.elapsed().as_secs_f64());
         }
@@ -202,7 +204,7 @@
 }
 
 impl Spread {
-    fn of(mut values: Vec<f64>) -> Spread {
+    fn from_values(mut values: Vec<f64>) -> Spread {
         values.sort_by(f64::total_cmp);
         Spread {
             median: values[values.len() / 2],
@@ -224,7 +226,7 @@
     let mut pairs = Vec::new();
     let mut bytes_per_session = 0.0;
     for number in 0..plan.rounds {
-        let without = SessionLoad::new(plan, None).play()?;
+        let cost_without = SessionLoad::new(plan, None).play()?;
         let resident_before = resident_bytes(pid)?;
         let mut controller = controller();
         let cost_with = SessionLoad::new(plan, Some(&mut controller)).play()?;
@@ -234,7 +236,7 @@
             bytes_per_session = added as f64 / plan.sessions as f64;
         }
         pairs.push(RoundPair {
-            cpu_seconds_without: without.cpu_seconds,
+            cpu_seconds_without: cost_without.cpu_seconds,
             cost_with,
         });
     }
@@ -243,16 +245,16 @@
 
 fn format_table(plan: &Plan, pairs: &[RoundPair], bytes_per_session: f64) -> String {
     let session_seconds = (plan.sessions * plan.seconds) as f64;
-    let nanoseconds_each = |cpu: f64| cpu * 1e9 / session_seconds;
+    let ns_per_session_second = |cpu: f64| cpu * 1e9 / session_seconds;
     let rows: [Row<'_>; 5] = [
         ("CPU a session second without, ns", &|pair| {
-            nanoseconds_each(pair.cpu_seconds_without)
+            ns_per_session_second(pair.cpu_seconds_without)
         }),
         ("CPU a session second with, ns", &|pair| {
-            nanoseconds_each(pair.cost_with.cpu_seconds)
+            ns_per_session_second(pair.cost_with.cpu_seconds)
         }),
         ("added, ns", &|pair| {
-            nanoseconds_each(pair.cost_with.cpu_seconds - pair.cpu_seconds_without)
+            ns_per_session_second(pair.cost_with.cpu_seconds - pair.cpu_seconds_without)
         }),
         ("longest step of settling, us", &|pair| {
             pair.cost_with.longest_step_seconds * 1e6
@@ -266,7 +268,7 @@
         plan.sessions, plan.seconds, plan.rounds
     );
     for (name, value) in rows {
-        let spread = Spread::of(pairs.iter().map(value).collect());
+        let spread = Spread::from_values(pairs.iter().map(value).collect());
         text += &format!(
             "| {name} | {:.1} | {:.1} to {:.1} |\n",
             spread.median, spread.min, spread.max
--- a/crates/benchmark/src/bench/load.rs
+++ b/crates/benchmark/src/bench/load.rs
@@ -188,7 +188,7 @@
     }
 
     /// Opens this many idle connections, then this many sessions, and returns the memory use of each.
-    pub(super) fn memory(
+    pub(super) fn memory_use(
         &self,
         process: &MeasuredProcess,
         connections: usize,
--- a/crates/benchmark/src/bench/mod.rs
+++ b/crates/benchmark/src/bench/mod.rs
@@ -77,16 +77,16 @@
         };
         let fleet = Fleet::start(config.clone(), &layout, Recorder::default())?;
         let list_service = ListService::start_for(&fleet, LIST_CHANGE_DELAY)?;
-        let block = front_block(
+        let front_config = front_block(
             0,
             1,
             &config.zones[0],
             &list_service.address.to_string(),
             "",
         );
-        let block = block.replacen("front {", "front {\n  workers: 1", 1);
+        let front_config = front_config.replacen("front {", "front {\n  workers: 1", 1);
         let configuration = plan.dir.join("measured.textproto");
-        std::fs::write(&configuration, format!("{block}{text}"))?;
+        std::fs::write(&configuration, format!("{front_config}{text}"))?;
         Ok(Environment {
             exe: plan.exe.clone(),
             fleet,
@@ -103,7 +103,11 @@
 
     fn start_relay(&self) -> io::Result<MeasuredProcess> {
         let mut command = Command::new(&self.exe);
-        let servers = self.fleet.servers.iter().map(|s| s.address.to_string());
+        let servers = self
+            .fleet
+            .servers
+            .iter()
+            .map(|server| server.address.to_string());
         command.args(["lab", "relay"]).args(servers);
         MeasuredProcess::start(command)
     }
@@ -137,8 +141,8 @@
         measure_throughput_and_latency(plan, &environment, &clients, &mut front, &mut relay)?;
     let (front_process, relay_process) = (environment.start_front()?, environment.start_relay()?);
     std::thread::sleep(LIST_RECEIPT_TIME);
-    let front_memory = clients.memory(&front_process, plan.idle, plan.sessions)?;
-    let relay_memory = clients.memory(&relay_process, plan.idle, plan.sessions)?;
+    let front_memory = clients.memory_use(&front_process, plan.idle, plan.sessions)?;
+    let relay_memory = clients.memory_use(&relay_process, plan.idle, plan.sessions)?;
     let failed = front.failures.ratio().max(relay.failures.ratio());
     let comparison = Comparison {
         front,
--- a/crates/benchmark/src/process.rs
+++ b/crates/benchmark/src/process.rs
@@ -44,7 +44,7 @@
     let kilobytes: u64 = line
         .split_whitespace()
         .next()
-        .and_then(|n| n.parse().ok())
+        .and_then(|count| count.parse().ok())
         .unwrap_or(0);
     Ok(kilobytes * 1024)
 }
--- a/crates/benchmark/src/relay.rs
+++ b/crates/benchmark/src/relay.rs
@@ -55,8 +55,8 @@
     sessions: Mutex<HashMap<String, RelayedSession>>,
 }
 
-/// A client's connection as the WebSocket library reads and writes it. Written bytes that the kernel does not accept at once are
-/// held and sent before the next read.
+/// A client's connection as the WebSocket library reads and writes it. Written bytes that the kernel does not accept at once
+/// are held and sent before the next read.
 struct BufferedStream<'a>(&'a WriteBuffer);
 
 impl Read for BufferedStream<'_> {
--- a/crates/fault-simulation/src/cluster.rs
+++ b/crates/fault-simulation/src/cluster.rs
@@ -23,9 +23,9 @@
 /// The rate at which a front sends to the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SendRate {
-    /// Datagrams per second.
+    /// Datagrams per second, on average.
     pub datagrams: f64,
-    /// Bytes per second.
+    /// Bytes of datagrams per second, on average.
     pub bytes: f64,
 }
 
--- a/crates/fault-simulation/src/network_conditions.rs
+++ b/crates/fault-simulation/src/network_conditions.rs
@@ -54,7 +54,7 @@
     fn new(from: &Fronts, to: &Fronts, fleet_size: usize) -> BlockedLinks {
         let membership = |fronts: &Fronts| {
             (0..fleet_size)
-                .map(|i| fronts.contains(i, fleet_size))
+                .map(|front| fronts.contains(front, fleet_size))
                 .collect()
         };
         BlockedLinks {
--- a/crates/fault-simulation/src/scenario/action.rs
+++ b/crates/fault-simulation/src/scenario/action.rs
@@ -73,7 +73,7 @@
 pub enum Build {
     /// The build that all fronts run at the start of a case.
     First,
-    /// The second build.
+    /// The second build, which fronts run only after it was selected for them.
     Other,
 }
 
--- a/crates/fault-simulation/src/scenario/claim.rs
+++ b/crates/fault-simulation/src/scenario/claim.rs
@@ -37,7 +37,7 @@
     },
     /// A limit on how often fronts were wrongly declared dead since the start of the measurement (`accused`).
     FalseAccusations {
-        /// Fronts whose views count.
+        /// Fronts whose declarations count.
         accusers: Fronts,
         /// Fronts that are rightly declared dead, so that this does not count.
         except: Fronts,
@@ -59,7 +59,7 @@
     RestartsSeen {
         /// Fronts whose views are checked.
         viewers: Fronts,
-        /// Fronts that restarted.
+        /// Fronts of which a new incarnation has to be seen.
         restarted: Fronts,
         /// Time limit, from the check on.
         bound: TimeBound,
--- a/crates/fault-simulation/src/scenario/fronts.rs
+++ b/crates/fault-simulation/src/scenario/fronts.rs
@@ -6,7 +6,7 @@
 /// A set of fronts that is defined independently of the size of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fronts {
-    is_complement: bool, // The set contains all fronts that are in none of the subsets.
+    is_complement: bool, // If true, the set contains the fronts that are in none of the subsets.
     subsets: Vec<Subset>,
 }
 
--- a/crates/fault-simulation/src/scenario/parser/mod.rs
+++ b/crates/fault-simulation/src/scenario/parser/mod.rs
@@ -33,6 +33,8 @@
     checks.verdict(case)
 }
 
+/// Converts a case and collects its problems in `checks`. A field with a problem gets any valid value, which is never used
+/// because the case is rejected as a whole.
 struct Parser<'c, 't> {
     checks: &'c mut Checks<'t>,
     groups: HashMap<String, Fronts>,
--- a/crates/fault-simulation/src/scenario/tests.rs
+++ b/crates/fault-simulation/src/scenario/tests.rs
@@ -36,12 +36,12 @@
 #[test]
 fn the_built_in_cases_are_valid() {
     for (name, text) in CASES {
-        let case = parse(text).unwrap_or_else(|p| panic!("{name}: {p:?}"));
+        let case = parse(text).unwrap_or_else(|problems| panic!("{name}: {problems:?}"));
         assert_eq!(case.name, name);
         assert!(
             case.steps
                 .iter()
-                .any(|s| matches!(s, CaseStep::Claim { .. })),
+                .any(|step| matches!(step, CaseStep::Claim { .. })),
             "{name} has no claims"
         );
     }
@@ -80,7 +80,7 @@
         assert!(
             problems
                 .iter()
-                .any(|p| p.what.contains(expected) && p.line > 1),
+                .any(|problem| problem.what.contains(expected) && problem.line > 1),
             "{text}: {problems:?}"
         );
     }
--- a/crates/fault-simulation/src/simulated_network/records.rs
+++ b/crates/fault-simulation/src/simulated_network/records.rs
@@ -29,7 +29,7 @@
 pub struct HealthRecord {
     /// Virtual time of the change.
     pub at: Time,
-    /// Number of the member.
+    /// Number of the member whose health changed.
     pub node: usize,
     /// The health after the change.
     pub health: LocalHealth,
--- a/crates/fault-simulation/src/simulated_process.rs
+++ b/crates/fault-simulation/src/simulated_process.rs
@@ -21,7 +21,7 @@
 /// The number of datagrams and bytes that a process sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentCounts {
-    /// Number of datagrams.
+    /// Number of datagrams, including those that the network lost.
     pub datagrams: u64,
     /// Total size of the datagrams in bytes.
     pub bytes: u64,
--- a/crates/fault-simulation/tests/claims.rs
+++ b/crates/fault-simulation/tests/claims.rs
@@ -37,12 +37,15 @@
     }
 
     fn state(&self, viewer: usize, viewed: usize) -> Option<MemberState> {
-        let known =
-            |t: &&MemberTransition| t.at <= self.now && (t.viewer, t.viewed) == (viewer, viewed);
+        let known = |transition: &&MemberTransition| {
+            transition.at <= self.now && (transition.viewer, transition.viewed) == (viewer, viewed)
+        };
         self.transitions
             .iter()
             .rfind(known)
-            .map_or(Some(MemberState::Alive), |t| Some(t.state))
+            .map_or(Some(MemberState::Alive), |transition| {
+                Some(transition.state)
+            })
     }
 
     fn local_health(&self, front: usize) -> Option<LocalHealth> {
@@ -56,7 +59,7 @@
     fn transitions(&self, from: Time) -> Vec<MemberTransition> {
         self.transitions
             .iter()
-            .filter(|t| (from..=self.now).contains(&t.at))
+            .filter(|transition| (from..=self.now).contains(&transition.at))
             .cloned()
             .collect()
     }
@@ -116,7 +119,7 @@
 fn holds(step: &str, mut cluster: ScriptedCluster) -> bool {
     cluster.fronts = 4;
     let text = format!("name: \"x\" step {{ mark {{}} }} step {{ run: \"1s\" }} step {{ {step} }}");
-    let case = parse(&text).unwrap_or_else(|p| panic!("{step}: {p:?}"));
+    let case = parse(&text).unwrap_or_else(|problems| panic!("{step}: {problems:?}"));
     let result = play(&case, &mut cluster).unwrap();
     let (satisfied, all) = result.satisfied_claims();
     assert_eq!((all, satisfied == 1), (1, result.claims[0].holds));
@@ -128,7 +131,7 @@
     let step = r#"see { claim: "c" at: "!3" of: "3" state: GONE bound { within: "1s" } }"#;
     let gone = |times: [u32; 3]| ScriptedCluster {
         transitions: (0..3)
-            .map(|by| transition(times[by], by, 3, MemberState::Dead))
+            .map(|viewer| transition(times[viewer], viewer, 3, MemberState::Dead))
             .collect(),
         ..ScriptedCluster::default()
     };
@@ -140,7 +143,7 @@
     );
     let left = ScriptedCluster {
         transitions: (0..3)
-            .map(|by| transition(1100, by, 3, MemberState::Left))
+            .map(|viewer| transition(1100, viewer, 3, MemberState::Left))
             .collect(),
         ..ScriptedCluster::default()
     };
@@ -231,9 +234,9 @@
     ));
 
     let restarted_step = r#"news { claim: "c" at: "!3" of: "3" bound { within: "1s" } }"#;
-    let seen = |by: usize, restarted| MemberTransition {
+    let seen = |viewer: usize, restarted| MemberTransition {
         restarted,
-        ..transition(1200, by, 3, MemberState::Alive)
+        ..transition(1200, viewer, 3, MemberState::Alive)
     };
     let seen_by_all = |last_restarted| ScriptedCluster {
         transitions: vec![seen(0, true), seen(1, true), seen(2, last_restarted)],
