--- a/crates/membership/src/gossip_state.rs
+++ b/crates/membership/src/gossip_state.rs
@@ -1,28 +1,29 @@
-//! The gossip state: values that only their owner writes, replicated to all members, each with its age.
+//! The gossip state: small values that are replicated to all members. Only its owner may write a value, and readers see its
+//! age.
 use crate::member_state::IncarnationId;
 use crankpaddle_time::{nanoseconds, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The longest value, bytes. Why: every entry must fit a datagram together with the sender's header.
+/// The longest value, in bytes. It is bounded because an entry is sent in one datagram together with the sender's header.
 pub const MAX_VALUE_BYTES: usize = 512;
 
-/// Orders the writes of one entry: by the owner's incarnation, then by its count of writes.
+/// The version of an entry. Later writes compare greater: first by the owner's incarnation, then by its count of writes.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct EntryVersion {
-    /// The owner's epoch when it wrote.
+    /// The owner's epoch at the time of the write; see [`MemberVersion::epoch`](crate::MemberVersion::epoch).
     pub epoch: u64,
-    /// The owner's incarnation when it wrote.
+    /// The owner's incarnation at the time of the write; see [`MemberVersion::incarnation`](crate::MemberVersion::incarnation).
     pub incarnation: u64,
-    /// Which write of that incarnation it was, from 1 on.
+    /// The number of this write among the writes of that incarnation, counted from 1.
     pub write_count: u32,
 }
 
 impl EntryVersion {
-    /// The owner's incarnation when it wrote.
+    /// The incarnation of the owner that wrote this version.
     #[must_use]
     pub fn incarnation_id(&self) -> IncarnationId {
         IncarnationId {
@@ -32,19 +33,19 @@
     }
 }
 
-/// An entry as its reader sees it.
+/// An entry of the gossip state as a reader sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The value that its owner wrote.
     pub value: Vec<u8>,
-    /// Time since it was written, at least: summed up from each host's monotonic clock on the way. Time in transit is not
-    /// counted, since no two hosts' clocks are compared.
+    /// A lower bound of the time since the value was written. It adds up how long each host on the way held the entry, by that
+    /// host's monotonic clock. Time in transit is not included, because clocks of different hosts are never compared.
     pub age: Duration,
-    /// Which write it is.
+    /// The version of the write that set the value.
     pub version: EntryVersion,
 }
 
-/// Identifies an entry.
+/// Identifies an entry by its owner and a key that the owner chose. The order of the fields is part of the datagram format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct EntryKey {
     pub owner: String,
@@ -60,13 +61,14 @@
     pub value: Vec<u8>,
 }
 
-/// An entry's version as a digest lists it.
+/// An entry's version in a digest. The order of the fields is part of the datagram format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EntryDigest {
     pub entry: EntryKey,
     pub version: EntryVersion,
 }
 
+/// A value with the age that it had when it was received.
 #[derive(Clone, Debug)]
 struct StoredEntry {
     version: EntryVersion,
@@ -88,7 +90,7 @@
 }
 
 impl GossipState {
-    /// Stores an update if it is later than the stored entry; true if it was stored.
+    /// Stores an update if its version is later than the stored one. Returns whether it was stored.
     pub(crate) fn apply(&mut self, now: Time, update: &EntryUpdate) -> bool {
         let stored = self.entries.get(&update.entry);
         let is_outdated = stored.is_some_and(|stored| stored.version >= update.version);
@@ -105,7 +107,7 @@
         true
     }
 
-    /// An entry as it would be sent at `now`.
+    /// An entry in the form in which it is sent at `now`, with its present age.
     pub(crate) fn update(&self, now: Time, entry: &EntryKey) -> Option<EntryUpdate> {
         let stored = self.entries.get(entry)?;
         Some(EntryUpdate {
@@ -126,13 +128,14 @@
         })
     }
 
-    /// The versions of up to `limit` entries, from the position `cursor` on and round to the first ones.
+    /// The versions of up to `limit` entries in the order of their keys. It starts at the position `cursor` and continues with
+    /// the first entries after the last one.
     pub(crate) fn digest(&self, cursor: usize, limit: usize) -> Vec<EntryDigest> {
-        let begin = cursor.checked_rem(self.entries.len()).unwrap_or(0);
-        let to_the_end = self.entries.iter().skip(begin);
-        let from_the_start = self.entries.iter().take(begin);
-        to_the_end
-            .chain(from_the_start)
+        let start = cursor.checked_rem(self.entries.len()).unwrap_or(0);
+        let from_start = self.entries.iter().skip(start);
+        let before_start = self.entries.iter().take(start);
+        from_start
+            .chain(before_start)
             .take(limit)
             .map(|(entry, stored)| EntryDigest {
                 entry: entry.clone(),
@@ -141,7 +144,7 @@
             .collect()
     }
 
-    /// The version of an entry that is stored.
+    /// The stored version of an entry; `None` if no value of it is stored.
     pub(crate) fn version(&self, entry: &EntryKey) -> Option<EntryVersion> {
         self.entries.get(entry).map(|stored| stored.version)
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,15 +1,18 @@
-//! Group membership of a fleet of fronts: which members are alive, and a gossip state of small values that reaches all of them.
+//! Group membership of a fleet of fronts. It detects which members are alive, and replicates small values to all of them by
+//! gossip.
 //!
-//! A pure state machine: datagrams and time go in, datagrams and changes come out. The protocol is SWIM with suspicion (Das,
-//! Gupta, Motivala, 2002) with Lifeguard's local health (Dadgar, Phillips, Currey, 2018).
+//! The package is a pure state machine without I/O: its inputs are received datagrams and the time, and its outputs are
+//! datagrams to send and changes to report. The protocol is SWIM with suspicion (Das, Gupta, Motivala, 2002), extended by the
+//! local health of Lifeguard (Dadgar, Phillips, Currey, 2018).
 //!
-//! Nothing here is agreed upon. Each front enforces its limits alone: what peers report may make it more careful, and a peer
-//! that is silent, late, wrong or lying costs quality of its decisions, but never breaks one of its limits.
+//! The protocol provides no consensus. Each front enforces its limits on its own. Reports of peers may only make it more
+//! careful: a peer that is silent, late, wrong or malicious makes its decisions worse, but can never make it exceed one of its
+//! limits.
 //!
 //! - [`Membership`]: probes, suspicion, refutation, rejoining, the member's own health;
-//! - [`MemberVersion`]: what is known of one member, and which of two updates is the later;
+//! - [`MemberVersion`]: what is known of one member, and which of two updates about it is the later one;
 //! - [`Entry`]: a value that a member published in the gossip state, with its age;
-//! - `wire`: the datagram format, versioned and authenticated by a keyed checksum.
+//! - `wire`: the datagram format, which has a version and a keyed checksum.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod error;
--- a/crates/membership/src/member_state.rs
+++ b/crates/membership/src/member_state.rs
@@ -1,18 +1,19 @@
-//! The state of a member as another one knows it, and which of two updates is the later.
+//! The state of a member as another one knows it, and which of two updates about it is the later one.
 use serde::{Deserialize, Serialize};
 
 /// The state of a member (SWIM).
 ///
-/// The order of the variants is part of the datagram format and of the precedence between updates.
+/// The order of the variants is part of the datagram format. It also decides between updates: of two that are otherwise equal,
+/// the one with the later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// It answers probes, or another member reports that it does.
     Alive,
-    /// It did not answer a probe of some member; it may refute the suspicion.
+    /// It did not answer a probe of some member. It may still refute the suspicion.
     Suspect,
     /// It did not refute the suspicion in time.
     Dead,
-    /// It left in order. No other state of this incarnation can follow.
+    /// It announced that it leaves. No other state of this incarnation can follow.
     Left,
 }
 
@@ -24,7 +25,7 @@
     }
 }
 
-/// Identifies one process among all that used a member's name. The greater one started later.
+/// Identifies one process among all that have used a member's name. A process that started later compares greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncarnationId {
     /// See [`MemberVersion::epoch`].
@@ -33,28 +34,34 @@
     pub incarnation: u64,
 }
 
-/// The version of what is known of a member. The greatest is the latest, so that updates may arrive late, twice and in any
-/// order: members that received the same updates know the same.
+/// The version of what is known of a member.
 ///
-/// - A later start (`epoch`, then `incarnation`) supersedes everything reported of an earlier one. A host whose wall clock was
-///   set back starts with a smaller epoch; the member itself raises it when it receives the greater one.
-/// - Within an incarnation, having left is final. Why: otherwise delayed updates would bring a member back that left in order.
-/// - Otherwise a higher count of refutations, which only the member itself raises, supersedes any state reported with a lower
-///   one.
+/// Versions are totally ordered and the greatest one is kept. So updates may arrive late, more than once and in any order:
+/// members that received the same updates know the same versions. The order is:
+///
+/// - A later start (`epoch`, then `incarnation`) supersedes everything that was reported of an earlier one. A host whose wall
+///   clock was set back starts with a smaller epoch; the member raises its epoch when it receives the greater one.
+/// - Within an incarnation, [`MemberState::Left`] supersedes every other state, so that delayed updates can't bring a member
+///   back that has left.
+/// - Otherwise a higher count of refutations, which only the member itself raises, supersedes any state that was reported with
+///   a lower count.
+///
+/// The order of the fields is part of the datagram format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberVersion {
-    /// When this incarnation started: milliseconds of its host's wall clock, raised where that is behind.
+    /// When this incarnation started, in milliseconds of its host's wall clock. The member raises it if an earlier incarnation
+    /// had a greater epoch.
     pub epoch: u64,
-    /// Drawn at random at its start: distinguishes two processes that use one name.
+    /// A random number drawn at its start, which distinguishes processes that use one name.
     pub incarnation: u64,
-    /// How often the member refuted a suspicion.
+    /// How often this incarnation refuted a suspicion or a report of its death.
     pub refutations: u32,
-    /// Its state.
+    /// The state of the member in this incarnation.
     pub state: MemberState,
 }
 
 impl MemberVersion {
-    /// Which process of the member's name this is about.
+    /// The process that this version describes.
     #[must_use]
     pub fn incarnation_id(&self) -> IncarnationId {
         IncarnationId {
@@ -63,13 +70,13 @@
         }
     }
 
-    /// Whether this is later than `other`.
+    /// Whether this version takes precedence over `other`.
     #[must_use]
     pub fn supersedes(&self, other: &MemberVersion) -> bool {
         self.precedence() > other.precedence()
     }
 
-    /// Whether both are about one incarnation.
+    /// Whether both versions describe the same incarnation.
     #[must_use]
     pub fn is_same_incarnation(&self, other: &MemberVersion) -> bool {
         self.incarnation_id() == other.incarnation_id()
@@ -85,7 +92,7 @@
     }
 }
 
-/// What decides between two versions; an earlier field outweighs all later ones.
+/// The sort key of versions. Fields are compared in the order in which they are declared.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
     incarnation_id: IncarnationId,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,6 +1,6 @@
-//! The state machine of one member: its state, its timers, and what can be read of it.
+//! The state machine of one member: its state, its timers, and the methods that read its state.
 //!
-//! The protocol's parts are in the modules below, each with the methods of one job.
+//! The submodules implement the parts of the protocol as further methods of [`Membership`].
 mod anti_entropy;
 mod config;
 mod counters;
@@ -36,27 +36,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The first digest is sent within this time of the start.
-const FIRST_SYNC_WITHIN: Duration = Duration::from_secs(2);
-/// Rounds of gossip that announce a leave.
-const LEAVE_ROUNDS: usize = 3;
-/// For this many probe intervals after a stall this member's health is degraded.
+/// The first digest is sent at a random time within this duration of the start.
+const MAX_FIRST_SYNC_DELAY: Duration = Duration::from_secs(2);
+/// The number of gossip rounds that announce a leave.
+const LEAVE_GOSSIP_ROUNDS: usize = 3;
+/// The number of probe intervals after a stall during which this member's health is degraded.
 const DEGRADED_INTERVALS_AFTER_STALL: u32 = 3;
-/// For this many probe intervals after a stall no member is declared dead.
+/// The number of probe intervals after a stall in which suspects may still refute before they are declared dead.
 const GRACE_INTERVALS_AFTER_STALL: u32 = 2;
 
-/// Whether a member still sends and receives.
+/// Whether this member still takes part in the protocol.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Participation {
+    /// It sends and receives datagrams.
     Active,
     /// Another process took over its name.
     Replaced,
-    /// It left in order.
+    /// It announced that it leaves.
     Left,
 }
 
-/// The state machine of one member. A clone continues independently from the same state. All points in time that it is given
-/// are of one monotonic clock.
+/// The state machine of one member.
+///
+/// All points in time that are passed to it must come from one monotonic clock. A clone continues independently from the same
+/// state.
 #[derive(Clone)]
 pub struct Membership {
     config: MembershipConfig,
@@ -68,9 +71,9 @@
     gossip_state: GossipState,
     own_entry_keys: BTreeSet<u8>,
     gossip_queue: GossipQueue,
-    probe_round: Vec<String>, // Members yet to probe, the next one last.
+    probe_round: Vec<String>, // The members still to be probed in this round, the next one last.
     probe: Option<Probe>,
-    indirect_probes: BTreeMap<u32, IndirectProbe>, // By the sequence number of the own ping.
+    indirect_probes: BTreeMap<u32, IndirectProbe>, // By the sequence number of the ping to the target.
     local_health_monitor: LocalHealthMonitor,
     local_health: LocalHealth,
     last_sequence: u32,
@@ -85,14 +88,14 @@
 }
 
 impl Membership {
-    /// A member that knows no other one yet. `seed` feeds its random choices.
+    /// A member that does not know any other one yet. `seed` initializes its random number generator.
     #[must_use]
     pub fn new(config: MembershipConfig, seed: u64, now: Time) -> Membership {
         let mut rng = oorandom::Rand32::new(seed);
         let digest_cursor = rng.rand_u32() as usize;
-        // Random, so that fronts that start together do not probe together.
-        let probe_at = now + random_within(&mut rng, config.probe_interval);
-        let sync_at = now + random_within(&mut rng, FIRST_SYNC_WITHIN);
+        // The delay is random so that members which start at the same time do not probe at the same time.
+        let probe_at = now + random_duration_below(&mut rng, config.probe_interval);
+        let sync_at = now + random_duration_below(&mut rng, MAX_FIRST_SYNC_DELAY);
         Membership {
             started_at: now,
             participation: Participation::Active,
@@ -125,7 +128,8 @@
         }
     }
 
-    /// When [`Membership::expire`] must be called next; [`Time::MAX`]: not any more.
+    /// When [`Membership::expire`] must be called next; [`Time::MAX`] if it need not be called any more, since the member has
+    /// left or was replaced.
     #[must_use]
     pub fn next_expiry(&self) -> Time {
         if !self.is_participating() {
@@ -167,11 +171,11 @@
         self.update_local_health(now, out);
     }
 
-    /// Announces that this member leaves; it sends nothing after that.
+    /// Announces that this member leaves. It sends no datagrams after that.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Output>) {
         self.own_version.state = MemberState::Left;
         self.enqueue_own_version(now);
-        for _ in 0..LEAVE_ROUNDS {
+        for _ in 0..LEAVE_GOSSIP_ROUNDS {
             self.gossip(now, out);
         }
         self.participation = Participation::Left;
@@ -186,20 +190,20 @@
             .collect()
     }
 
-    /// Another member's state; `None` if it is not known.
+    /// The state of another member; `None` if the member is not known.
     #[must_use]
     pub fn state_of(&self, name: &str) -> Option<MemberState> {
         self.members.state(name)
     }
 
-    /// The number of other members that may be running: all known ones except those that left. A dead member may only be
-    /// unreachable; it counts until it is removed.
+    /// The number of other members that may be running: all known members except those that left. A member that was declared
+    /// dead may only be unreachable, so it counts until it is removed.
     #[must_use]
     pub fn estimated_fleet_size(&self) -> u32 {
         (self.members.active() + self.members.dead()) as u32
     }
 
-    /// This member's name.
+    /// The name of this member, as configured.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.config.name
@@ -211,19 +215,19 @@
         &self.config.address
     }
 
-    /// This member's own health.
+    /// This member's own health, as last reported by [`Output::LocalHealthChanged`]; at first [`LocalHealth::Alone`].
     #[must_use]
     pub fn local_health(&self) -> LocalHealth {
         self.local_health
     }
 
-    /// This member's own version.
+    /// This member's own version, which it sends with every datagram.
     #[must_use]
     pub fn own_version(&self) -> MemberVersion {
         self.own_version
     }
 
-    /// Counters since the start.
+    /// The counters since this member started.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
@@ -233,10 +237,11 @@
         self.participation == Participation::Active
     }
 
-    /// Detects that this process was stalled: a timer is late by more than half a probe interval.
+    /// Detects that this process was stalled, that is, a timer is late by more than half a probe interval, and compensates for
+    /// it.
     ///
-    /// Why: after a process was stopped, or got no processor time, all its timers are due at once. It would declare members dead
-    /// whose answers it had no chance to receive.
+    /// After a process was stopped or got no processor time, all of its timers are due at once. Without this check it would
+    /// declare members dead although it had no chance to receive their answers.
     fn detect_stall(&mut self, now: Time) {
         let due = self.next_expiry();
         let interval = self.config.probe_interval;
@@ -280,7 +285,7 @@
         self.last_sequence
     }
 
-    /// Up to `limit` active members at random, without the one named `excluded`.
+    /// Chooses up to `limit` active members at random, never the one named `excluded`.
     fn choose_members(&mut self, limit: usize, excluded: &str) -> Vec<String> {
         let mut names: Vec<&String> = self
             .members
@@ -288,18 +293,18 @@
             .filter(|(name, record)| record.version.state.is_active() && *name != excluded)
             .map(|(name, _)| name)
             .collect();
-        // A partial Fisher-Yates shuffle: only the first `limit` places are drawn.
-        for place in 0..limit.min(names.len()) {
-            let remaining = (names.len() - place) as u32;
-            let drawn = place + self.rng.rand_range(0..remaining) as usize;
-            names.swap(place, drawn);
+        // A partial Fisher-Yates shuffle: only the first `limit` positions are needed.
+        for position in 0..limit.min(names.len()) {
+            let remaining = (names.len() - position) as u32;
+            let drawn = position + self.rng.rand_range(0..remaining) as usize;
+            names.swap(position, drawn);
         }
         names.into_iter().take(limit).cloned().collect()
     }
 }
 
-/// A random part of a duration.
-fn random_within(rng: &mut oorandom::Rand32, duration: Duration) -> Duration {
-    let part = f64::from(rng.rand_float()) * nanoseconds(duration) as f64;
-    Duration::from_nanos(part as u64)
+/// A random duration between zero and `limit`.
+fn random_duration_below(rng: &mut oorandom::Rand32, limit: Duration) -> Duration {
+    let random_nanoseconds = f64::from(rng.rand_float()) * nanoseconds(limit) as f64;
+    Duration::from_nanos(random_nanoseconds as u64)
 }
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: members compare digests of what they know, so that updates which gossip missed arrive as well.
+//! Anti-entropy: members compare digests of what they know, so that they also get the updates that gossip did not deliver.
 use super::dissemination::{Destination, Message, ANSWER_RESERVE, GOSSIP_RESERVE};
 use super::gossip_queue::GossipItem;
 use super::{Membership, Output};
@@ -7,20 +7,23 @@
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// Time between two digests.
+/// The time between two digests that a member sends.
 const SYNC_INTERVAL: Duration = Duration::from_secs(1);
-/// Time to the next digest after one showed a difference: a fifth of the interval.
+/// The maximum time to the next digest after a received one showed a difference: a fifth of the interval.
 const SYNC_INTERVAL_ON_DIFFERENCE: Duration = Duration::from_millis(200);
-/// Members in a digest.
-const DIGEST_MEMBERS: usize = 18;
-/// Entries in a digest.
-const DIGEST_ENTRIES: usize = 10;
+/// The maximum number of other members in a digest.
+const MAX_DIGEST_MEMBERS: usize = 18;
+/// The maximum number of entries in a digest.
+const MAX_DIGEST_ENTRIES: usize = 10;
 
-/// Where a received digest differs from what is known here.
+/// How a received digest differs from what this member knows.
 #[derive(Default)]
 struct Difference {
+    /// Items of which this member knows a later version than the sender.
     newer_here: Vec<GossipItem>,
+    /// Members of which the sender knows a later version, or which are not known here.
     wanted_members: Vec<String>,
+    /// Entries of which the sender knows a later version, or which are not known here.
     wanted_entries: Vec<EntryKey>,
 }
 
@@ -33,31 +36,35 @@
 }
 
 impl Membership {
-    /// Sends one member a digest of a part of what is known; it answers with what it knows better and what it lacks.
+    /// Sends a digest of some members and entries to one member. It answers with the later versions that it knows, and requests
+    /// those that it lacks.
     pub(super) fn sync(&mut self, now: Time, out: &mut Vec<Output>) {
         self.sync_at = now + SYNC_INTERVAL;
         let Some(name) = self.choose_members(1, "").pop() else {
             return;
         };
-        self.digest_cursor = self.digest_cursor.wrapping_add(DIGEST_MEMBERS);
+        self.digest_cursor = self.digest_cursor.wrapping_add(MAX_DIGEST_MEMBERS);
         let body = Body::Digest {
             members: self.member_digest(),
-            entries: self.gossip_state.digest(self.digest_cursor, DIGEST_ENTRIES),
+            entries: self
+                .gossip_state
+                .digest(self.digest_cursor, MAX_DIGEST_ENTRIES),
         };
         let message = Message::new(&body).with_reserve(GOSSIP_RESERVE);
         self.send_to_member(now, &name, message, out);
     }
 
-    /// The next members in turn, and this one.
+    /// The versions of the next members in turn, and of this one.
     fn member_digest(&self) -> Vec<MemberDigest> {
-        let begin = self.digest_cursor % (self.members.len() + 1);
-        // Why a cycle: cut off at the end of the table, the first members by name would be sent least often.
+        let start = self.digest_cursor % (self.members.len() + 1);
+        // The digest continues with the first members after the last one. If it stopped at the end of the table, the first
+        // members by name would be sent least often.
         let mut digest: Vec<MemberDigest> = self
             .members
             .iter()
             .cycle()
-            .skip(begin)
-            .take(DIGEST_MEMBERS.min(self.members.len()))
+            .skip(start)
+            .take(MAX_DIGEST_MEMBERS.min(self.members.len()))
             .map(|(name, record)| MemberDigest {
                 name: name.clone(),
                 version: record.version,
@@ -70,7 +77,7 @@
         digest
     }
 
-    /// Answers a digest with the updates that its sender lacks, and requests those that are missing here.
+    /// Answers a digest with the updates that its sender lacks, and requests those that this member lacks.
     pub(super) fn answer_digest(
         &mut self,
         now: Time,
@@ -85,7 +92,8 @@
         if difference.is_empty() {
             return;
         }
-        // Where two members differ, others do as well.
+        // If this member and the sender know different versions, other members probably do as well, so the next digest is sent
+        // sooner.
         self.sync_at = self.sync_at.min(now + SYNC_INTERVAL_ON_DIFFERENCE);
         let body = Body::Pull {
             members: difference.wanted_members,
@@ -126,7 +134,7 @@
         }
     }
 
-    /// Answers a request for updates.
+    /// Answers a request for the updates of these members and entries.
     pub(super) fn answer_pull(
         &mut self,
         now: Time,
--- a/crates/membership/src/membership/config.rs
+++ b/crates/membership/src/membership/config.rs
@@ -1,30 +1,30 @@
 //! The configuration of a member.
 use std::time::Duration;
 
-/// The configuration of a member.
+/// The configuration of a member of the fleet.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// Its name, the same after a restart.
+    /// Its name, which is unique in the fleet and stays the same after a restart.
     pub name: String,
     /// The address that it announces to the other members.
     pub address: String,
-    /// Its host's wall clock at its start, milliseconds.
+    /// The wall clock of its host at its start, in milliseconds.
     pub epoch: u64,
-    /// Drawn at random at its start.
+    /// A random number drawn at its start, which distinguishes processes that use one name.
     pub incarnation: u64,
-    /// The key of the datagrams' checksum: each fleet has its own, so that no other fleet mixes in.
+    /// The key of the checksum of datagrams. Each fleet has its own key, so that members ignore datagrams of other fleets.
     pub key: [u8; 16],
-    /// Addresses of members to join through.
+    /// Addresses of members through which it joins the fleet.
     pub seeds: Vec<String>,
-    /// Time between two probes.
+    /// The time between the starts of two probes. It is prolonged while the member's own health is bad.
     pub probe_interval: Duration,
-    /// Time to wait for an answer to a direct probe.
+    /// How long to wait for an answer to a direct probe before helpers are asked to probe the member.
     pub probe_timeout: Duration,
-    /// Members asked to probe on this member's behalf.
+    /// The number of helpers that are asked to probe a member that did not answer directly.
     pub indirect_probes: usize,
-    /// The most datagrams sent in a second.
+    /// The maximum number of datagrams sent per second.
     pub datagrams_per_second: f64,
-    /// The most bytes sent in a second.
+    /// The maximum number of bytes sent per second.
     pub bytes_per_second: f64,
 }
 
--- a/crates/membership/src/membership/counters.rs
+++ b/crates/membership/src/membership/counters.rs
@@ -4,36 +4,36 @@
 /// Counters since the start of the member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams sent.
+    /// Datagrams sent, of all kinds.
     pub datagrams_sent: u64,
-    /// Bytes sent.
+    /// Bytes of the datagrams sent.
     pub bytes_sent: u64,
-    /// Datagrams received that could be decoded.
+    /// Received datagrams that could be decoded, including those that were dropped after that.
     pub datagrams_received: u64,
-    /// Dropped: malformed.
+    /// Received datagrams that were dropped because they are malformed.
     pub malformed: u64,
-    /// Dropped: of another protocol version.
+    /// Received datagrams that were dropped because their protocol version is not supported.
     pub other_version: u64,
-    /// Dropped: another fleet's, or damaged.
+    /// Received datagrams that were dropped because their checksum does not match: they are another fleet's, or were corrupted.
     pub other_fleet: u64,
-    /// Dropped: addressed to another member.
+    /// Received datagrams that were dropped because they are addressed to another member.
     pub misaddressed: u64,
-    /// Dropped: sent by a previous incarnation of the sender.
+    /// Received datagrams that were dropped because a previous incarnation of the sender sent them.
     pub previous_incarnation: u64,
-    /// Not answered: the sender exceeded its rate limit.
+    /// Requests that were not answered because their sender exceeded its rate limit.
     pub rate_limited: u64,
-    /// Not sent: the budget was used up.
+    /// Datagrams that were not sent because the send budget did not allow them.
     pub over_budget: u64,
-    /// Updates or entries in this member's name that it never made; they were corrected.
+    /// Received updates or entries in this member's name that it never made. This member overrides them with its own.
     pub forged: u64,
-    /// Encounters with another process that uses this member's name.
+    /// Datagrams or updates of another process that uses this member's name.
     pub name_conflicts: u64,
-    /// Members that this member declared dead.
+    /// How often this member declared another one dead.
     pub declared_dead: u64,
 }
 
 impl Counters {
-    /// All datagrams received and dropped.
+    /// The number of received datagrams that were dropped for any reason.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.malformed
@@ -43,8 +43,8 @@
             + self.previous_incarnation
     }
 
-    /// Each counter but the datagrams sent and received, with the metric name that operators know it by. The names are
-    /// published: they stay.
+    /// Each counter, except the datagrams sent and received, with the name of its metric. The names are published to operators
+    /// and must not change, although some differ from the names of the fields.
     #[must_use]
     pub fn named(&self) -> [(&'static str, u64); 11] {
         [
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,30 +1,31 @@
-//! Outgoing datagrams: each carries as many updates as fit, those sent least often first, within the budget.
+//! Outgoing datagrams. Each one carries as many queued updates as fit, those sent least often first, and is sent only if the
+//! send budget allows it.
 use super::gossip_queue::{GossipItem, QueuedItem};
 use super::{Membership, Output};
 use crate::wire::{Body, DatagramBuilder, Header, MemberUpdate};
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// Time between two rounds of gossip while there are updates to disseminate.
+/// The time between two rounds of gossip while there are updates to disseminate.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
-/// Time from a new update to the next round at the latest: a quarter of the interval.
-const GOSSIP_DELAY: Duration = Duration::from_millis(50);
-/// Members that each round is sent to.
+/// The maximum time from a new update to the next round of gossip: a quarter of the interval.
+const MAX_GOSSIP_DELAY: Duration = Duration::from_millis(50);
+/// The number of members that each round is sent to.
 const GOSSIP_FANOUT: usize = 3;
-/// Each update is sent this many times the logarithm of the fleet's size (SWIM's lambda).
+/// The number of times that an update is sent is this multiple of the decimal logarithm of the fleet size (SWIM's lambda).
 const RETRANSMIT_MULTIPLIER: f64 = 4.0;
-/// Queued updates that are considered for one datagram; no more would fit.
+/// The number of queued updates that are considered for one datagram. More would not fit.
 const MAX_UPDATES_PER_DATAGRAM: usize = 40;
 
-/// Part of the budget that gossip leaves for probes and answers.
+/// The fraction of the send budget that gossip, digests and rejoining leave for probes and answers.
 pub(super) const GOSSIP_RESERVE: f64 = 0.3;
-/// Part of the budget that answers with updates leave for probes and acknowledgements.
+/// The fraction of the send budget that answers with updates leave for probes and acknowledgements.
 pub(super) const ANSWER_RESERVE: f64 = 0.2;
 
-/// Where a datagram goes.
+/// The receiver of a datagram.
 #[derive(Clone, Copy)]
 pub(super) struct Destination<'a> {
-    /// The member's name; empty where it is not known yet.
+    /// The member's name; empty if it is not known yet.
     pub(super) name: &'a str,
     pub(super) address: &'a str,
 }
@@ -33,37 +34,37 @@
 #[derive(Clone, Copy)]
 pub(super) struct Message<'a> {
     body: &'a Body,
-    /// Updates that go before the queued ones.
-    first_items: &'a [GossipItem],
-    /// Part of the budget that must remain.
+    /// Items whose updates are added before the queued ones.
+    priority_items: &'a [GossipItem],
+    /// The fraction of the send budget that must remain after the datagram is sent.
     reserve: f64,
 }
 
 impl<'a> Message<'a> {
-    /// A probe or its answer: it may use the whole budget.
+    /// A message that may use the whole send budget, as probes and their answers do.
     pub(super) fn new(body: &'a Body) -> Message<'a> {
         Message {
             body,
-            first_items: &[],
+            priority_items: &[],
             reserve: 0.0,
         }
     }
 
-    /// The same with updates that go before the queued ones.
-    pub(super) fn with_items(self, first_items: &'a [GossipItem]) -> Message<'a> {
+    /// Adds items whose updates are sent before the queued ones.
+    pub(super) fn with_items(self, priority_items: &'a [GossipItem]) -> Message<'a> {
         Message {
-            first_items,
+            priority_items,
             ..self
         }
     }
 
-    /// The same, sent only if this part of the budget remains.
+    /// Sends the message only if this fraction of the send budget remains.
     pub(super) fn with_reserve(self, reserve: f64) -> Message<'a> {
         Message { reserve, ..self }
     }
 }
 
-/// An encoded datagram and the queued items that it carries.
+/// An encoded datagram, and the queued items whose updates it carries.
 struct EncodedDatagram {
     bytes: Vec<u8>,
     queued_items: Vec<QueuedItem>,
@@ -73,15 +74,15 @@
     /// Queues an item for dissemination.
     pub(super) fn enqueue(&mut self, item: GossipItem, now: Time) {
         self.gossip_queue.push(item);
-        self.gossip_at = self.gossip_at.min(now + GOSSIP_DELAY);
+        self.gossip_at = self.gossip_at.min(now + MAX_GOSSIP_DELAY);
     }
 
-    /// Queues the own version for dissemination.
+    /// Queues this member's own version for dissemination.
     pub(super) fn enqueue_own_version(&mut self, now: Time) {
         self.enqueue(GossipItem::Member(self.config.name.clone()), now);
     }
 
-    /// What is known of a member, this one included.
+    /// An update with what is known of a member, which may be this one; `None` if the member is not known.
     pub(super) fn member_update(&self, name: &str) -> Option<MemberUpdate> {
         if name == self.config.name {
             return Some(MemberUpdate {
@@ -100,7 +101,7 @@
         })
     }
 
-    /// Sends a datagram, filled up with queued updates. False if the budget does not allow it.
+    /// Sends a datagram, filled up with queued updates. Returns false if the send budget does not allow it.
     pub(super) fn send(
         &mut self,
         now: Time,
@@ -128,7 +129,8 @@
         true
     }
 
-    /// Sends a datagram to a known member at the address that it announced.
+    /// Sends a datagram to a known member at the address that it announced. Returns false if the member is not known or the
+    /// send budget does not allow it.
     pub(super) fn send_to_member(
         &mut self,
         now: Time,
@@ -162,7 +164,7 @@
 
     fn encode(&self, now: Time, to: &str, message: Message<'_>) -> EncodedDatagram {
         let mut builder = DatagramBuilder::new(&self.header(to), message.body);
-        for item in message.first_items {
+        for item in message.priority_items {
             self.add_item(now, item, &mut builder);
         }
         let mut queued_items = self.gossip_queue.least_sent(MAX_UPDATES_PER_DATAGRAM);
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Adds an item's update; false if it does not fit, or nothing is known of the item any more.
+    /// Adds the update of an item. Returns false if it does not fit, or the item is not known any more.
     fn add_item(&self, now: Time, item: &GossipItem, builder: &mut DatagramBuilder) -> bool {
         match item {
             GossipItem::Member(name) => self
@@ -195,9 +197,9 @@
         }
     }
 
-    /// How often each update is sent.
+    /// The number of times that each update is sent.
     fn transmit_limit(&self) -> u32 {
-        // This member too, and one more so that the logarithm is above zero.
+        // The fleet includes this member. One more is added so that the logarithm is above zero even for a single member.
         let fleet_size = (self.members.len() + 2) as f64;
         (RETRANSMIT_MULTIPLIER * fleet_size.log10()).ceil() as u32
     }
--- a/crates/membership/src/membership/entries.rs
+++ b/crates/membership/src/membership/entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the gossip state: this member's own ones, and updates of others'.
+//! Entries of the gossip state: writes of this member's own entries, and updates of the entries of others.
 use super::gossip_queue::GossipItem;
 use super::own_identity::IMPLAUSIBLE_COUNT;
 use super::Membership;
@@ -8,27 +8,29 @@
 use crate::wire::MAX_DATAGRAM_BYTES;
 use crankpaddle_time::Time;
 
-/// Bytes of a datagram that an entry leaves for the sender's header.
-const HEADER_ALLOWANCE: usize = 200;
+/// The number of bytes that an entry leaves for the sender's header in a datagram.
+const HEADER_ALLOWANCE_BYTES: usize = 200;
 
 impl Membership {
-    /// Writes an entry of this member.
+    /// Writes an entry of this member, which replaces the previous value of that key.
     ///
     /// # Errors
     /// The value is longer than [`MAX_VALUE_BYTES`].
     pub fn write(&mut self, now: Time, key: u8, value: Vec<u8>) -> Result<(), WriteError> {
-        if value.len() > MAX_VALUE_BYTES || value.len() + HEADER_ALLOWANCE > MAX_DATAGRAM_BYTES {
+        if value.len() > MAX_VALUE_BYTES
+            || value.len() + HEADER_ALLOWANCE_BYTES > MAX_DATAGRAM_BYTES
+        {
             return Err(WriteError::ValueTooLong {
                 limit: MAX_VALUE_BYTES,
             });
         }
-        let written = self.gossip_state.version(&self.own_entry(key));
-        let count = written.map_or(0, |version| version.write_count);
-        self.write_with_count(now, key, value, count.saturating_add(1));
+        let previous = self.gossip_state.version(&self.own_entry_key(key));
+        let write_count = previous.map_or(0, |version| version.write_count);
+        self.write_with_count(now, key, value, write_count.saturating_add(1));
         Ok(())
     }
 
-    /// A member's entry as it is known at `now`, unless the member has left.
+    /// The entry of a member as it is known at `now`; `None` if it is not known, or its owner has left.
     #[must_use]
     pub fn entry(&self, now: Time, owner: &str, key: u8) -> Option<Entry> {
         let entry = EntryKey {
@@ -38,7 +40,7 @@
         self.gossip_state.read(now, &entry)
     }
 
-    fn own_entry(&self, key: u8) -> EntryKey {
+    fn own_entry_key(&self, key: u8) -> EntryKey {
         EntryKey {
             owner: self.config.name.clone(),
             key,
@@ -46,7 +48,7 @@
     }
 
     fn write_with_count(&mut self, now: Time, key: u8, value: Vec<u8>, write_count: u32) {
-        let entry = self.own_entry(key);
+        let entry = self.own_entry_key(key);
         let update = EntryUpdate {
             entry: entry.clone(),
             version: EntryVersion {
@@ -63,16 +65,16 @@
         }
     }
 
-    /// Writes the own entries again, under the present epoch.
+    /// Writes all entries of this member again under its present epoch, with their write counts restarted at 1.
     pub(super) fn rewrite_own_entries(&mut self, now: Time) {
         for key in self.own_entry_keys.clone() {
-            if let Some(entry) = self.gossip_state.read(now, &self.own_entry(key)) {
+            if let Some(entry) = self.gossip_state.read(now, &self.own_entry_key(key)) {
                 self.write_with_count(now, key, entry.value, 1);
             }
         }
     }
 
-    /// Applies an update of an entry. Only those that the owner's present incarnation wrote count.
+    /// Applies an update of an entry. It is ignored unless the present incarnation of its owner wrote it.
     pub(super) fn apply_entry_update(&mut self, now: Time, update: &EntryUpdate) {
         if update.entry.owner == self.config.name {
             self.check_own_entry(now, update);
@@ -88,13 +90,15 @@
         }
     }
 
-    /// Checks an update of an entry of this member: one that it never wrote is overwritten, under a new epoch where its count
-    /// is implausible.
+    /// Checks an update of an entry of this member. One that it never wrote is forged, and is overwritten with the true value.
+    ///
+    /// If the update claims a later incarnation or an implausible write count, this member advances its epoch, since a greater
+    /// write count alone would not supersede the update or would soon overflow.
     fn check_own_entry(&mut self, now: Time, update: &EntryUpdate) {
         let own_incarnation = self.own_version.incarnation_id();
         let stored = self.gossip_state.version(&update.entry);
-        let is_known = stored.is_some_and(|stored| stored >= update.version);
-        if is_known || update.version.incarnation_id() < own_incarnation {
+        let is_known_write = stored.is_some_and(|stored| stored >= update.version);
+        if is_known_write || update.version.incarnation_id() < own_incarnation {
             return;
         }
         self.counters.forged += 1;
--- a/crates/membership/src/membership/gossip_queue.rs
+++ b/crates/membership/src/membership/gossip_queue.rs
@@ -1,22 +1,22 @@
-//! The queue of updates to disseminate: those sent least often go first (SWIM's infection-style dissemination).
+//! The queue of updates to disseminate. Those sent least often are sent first (SWIM's infection-style dissemination).
 use crate::gossip_state::EntryKey;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an update is about; the update itself is made when it is sent.
+/// The member or entry that an update describes. The update itself is created when it is sent, so that it is never out of date.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum GossipItem {
     Member(String),
     Entry(EntryKey),
 }
 
-/// An item with the number of datagrams that it was sent with.
+/// An item with the number of times that it was sent. Items are ordered by that number first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuedItem {
     pub(super) transmissions: u32,
     pub(super) item: GossipItem,
 }
 
-/// Items to disseminate.
+/// The items to disseminate, each at most once.
 #[derive(Clone, Default)]
 pub(super) struct GossipQueue {
     by_transmissions: BTreeSet<QueuedItem>,
@@ -28,7 +28,7 @@
         self.by_transmissions.is_empty()
     }
 
-    /// Queues an item as one that was not sent yet.
+    /// Queues an item that was not sent yet. If it is queued already, its count restarts at zero.
     pub(super) fn push(&mut self, item: GossipItem) {
         if let Some(transmissions) = self.transmissions.insert(item.clone(), 0) {
             self.by_transmissions.remove(&QueuedItem {
@@ -47,7 +47,7 @@
         self.by_transmissions.iter().take(limit).cloned().collect()
     }
 
-    /// Counts one more transmission of an item, and removes it once it was sent `limit` times.
+    /// Counts one more transmission of an item. Removes the item once it was sent `limit` times.
     pub(super) fn record_transmission(&mut self, sent: QueuedItem, limit: u32) {
         self.by_transmissions.remove(&sent);
         let QueuedItem {
--- a/crates/membership/src/membership/indirect_probe.rs
+++ b/crates/membership/src/membership/indirect_probe.rs
@@ -1,11 +1,11 @@
-//! Indirect probes: probes made on behalf of another member that got no direct answer.
+//! Indirect probes, which this member makes on behalf of another one that got no direct answer.
 use super::dissemination::Message;
 use super::gossip_queue::GossipItem;
 use super::{Membership, Output};
 use crate::wire::Body;
 use crankpaddle_time::Time;
 
-/// Indirect probes in progress at most; further requests are dropped.
+/// The maximum number of indirect probes in progress. Requests beyond it are dropped.
 const MAX_INDIRECT_PROBES: usize = 64;
 
 /// A probe made on behalf of another member.
@@ -13,13 +13,13 @@
 pub(super) struct IndirectProbe {
     requester: String,
     requester_sequence: u32,
-    until: Time,
+    deadline: Time,
 }
 
 impl IndirectProbe {
-    /// When the requester is sent a nack unless the target answered.
+    /// When a nack is sent to the requester unless the target has answered.
     pub(super) fn next_expiry(&self) -> Time {
-        self.until
+        self.deadline
     }
 }
 
@@ -45,7 +45,7 @@
         let probe = IndirectProbe {
             requester: requester.to_owned(),
             requester_sequence,
-            until: now + self.config.probe_timeout,
+            deadline: now + self.config.probe_timeout,
         };
         self.indirect_probes.insert(sequence, probe);
     }
@@ -61,12 +61,12 @@
         self.send_to_member(now, &probe.requester, Message::new(&ack), out);
     }
 
-    /// Ends indirect probes without an answer: the nack shows their requesters that at least this member is alive.
+    /// Ends indirect probes that got no answer in time. The nack shows the requester that it can at least reach this member.
     pub(super) fn expire_indirect_probes(&mut self, now: Time, out: &mut Vec<Output>) {
         let expired: Vec<u32> = self
             .indirect_probes
             .iter()
-            .filter(|(_, probe)| now >= probe.until)
+            .filter(|(_, probe)| now >= probe.deadline)
             .map(|(sequence, _)| *sequence)
             .collect();
         for sequence in expired {
--- a/crates/membership/src/membership/member_table.rs
+++ b/crates/membership/src/membership/member_table.rs
@@ -1,4 +1,4 @@
-//! The table of the other members, with counts and the set of suspects kept up to date beside it.
+//! The table of the other members, with an index of the suspects and counts by state.
 use super::output::Member;
 use crate::member_state::{MemberState, MemberVersion};
 use crate::suspicion::Suspicion;
@@ -8,15 +8,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Requests of one member that are answered in a second.
-const ANSWERS_PER_SECOND: f64 = 25.0;
+/// The maximum number of requests of one member that are answered per second.
+const MAX_ANSWERS_PER_SECOND: f64 = 25.0;
 
 /// What is known of another member.
 #[derive(Clone)]
 pub(super) struct MemberRecord {
     pub(super) version: MemberVersion,
     pub(super) address: String,
-    pub(super) since: Time, // When it entered its state.
+    pub(super) since: Time, // When its state or incarnation changed last.
     pub(super) reported_by: String,
     pub(super) rtt: Option<Duration>,
     pub(super) suspicion: Option<Suspicion>,
@@ -27,7 +27,8 @@
 #[derive(Clone, Default)]
 pub(super) struct MemberTable {
     records: BTreeMap<String, MemberRecord>,
-    // Kept beside the records, so that no datagram costs a scan of all of them.
+    // The names of the suspects and the counts are updated with the records, so that handling a datagram does not scan all
+    // records.
     suspects: BTreeSet<String>,
     active: usize,
     dead: usize,
@@ -38,12 +39,12 @@
         self.records.len()
     }
 
-    /// Members that are alive or suspect.
+    /// The number of members that are alive or suspect.
     pub(super) fn active(&self) -> usize {
         self.active
     }
 
-    /// Members that are dead and not yet removed.
+    /// The number of members that are dead and not yet removed.
     pub(super) fn dead(&self) -> usize {
         self.dead
     }
@@ -99,7 +100,7 @@
         Some(suspicion.deadline())
     }
 
-    /// Stores a later version of a member. `changed`: its state or incarnation is another one than before.
+    /// Stores a later version of a member. `changed` tells whether its state or incarnation differs from the known one.
     pub(super) fn store(
         &mut self,
         now: Time,
@@ -108,7 +109,7 @@
         changed: bool,
     ) {
         let state_before = self.state(&update.name);
-        self.count(state_before, Some(update.version.state));
+        self.update_counts(state_before, Some(update.version.state));
         if suspicion.is_some() {
             self.suspects.insert(update.name.clone());
         } else {
@@ -132,11 +133,11 @@
     /// Removes a member that is not suspect.
     pub(super) fn remove(&mut self, name: &str) {
         let removed = self.records.remove(name);
-        self.count(removed.map(|record| record.version.state), None);
+        self.update_counts(removed.map(|record| record.version.state), None);
     }
 
-    /// Counts a member's change from one state to another; `None`: it is not in the table.
-    fn count(&mut self, before: Option<MemberState>, after: Option<MemberState>) {
+    /// Updates the counts for a member whose state changed. `None` means that it is not in the table.
+    fn update_counts(&mut self, before: Option<MemberState>, after: Option<MemberState>) {
         let active =
             |state: Option<MemberState>| usize::from(state.is_some_and(MemberState::is_active));
         let dead = |state: Option<MemberState>| usize::from(state == Some(MemberState::Dead));
@@ -154,11 +155,11 @@
             reported_by: update.reported_by.clone(),
             rtt: None,
             suspicion: None,
-            answer_limit: TokenBucket::new(ANSWERS_PER_SECOND, now),
+            answer_limit: TokenBucket::new(MAX_ANSWERS_PER_SECOND, now),
         }
     }
 
-    /// The member as an operator sees it.
+    /// The member as it is shown to an operator.
     pub(super) fn to_member(&self, name: &str) -> Member {
         Member {
             name: name.to_owned(),
--- a/crates/membership/src/membership/member_updates.rs
+++ b/crates/membership/src/membership/member_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of other members: suspicion, confirmation, death, and every other change of state.
+//! Updates of other members: suspicions, their confirmations, deaths, and all other changes of state.
 use super::gossip_queue::GossipItem;
 use super::{MemberChange, Membership, Output};
 use crate::member_state::{MemberState, MemberVersion};
@@ -7,11 +7,11 @@
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// How long suspicions are postponed while this member is isolated.
-const ISOLATED_POSTPONEMENT: Duration = Duration::from_secs(1);
+/// By how much an overdue suspicion is postponed while this member is isolated.
+const POSTPONEMENT_WHILE_ISOLATED: Duration = Duration::from_secs(1);
 
 impl Membership {
-    /// Applies an update of another member if it is later than what is known.
+    /// Applies an update of another member if it is later than what is known of that member.
     pub(super) fn apply_member_update(
         &mut self,
         now: Time,
@@ -24,7 +24,7 @@
             }
             Some(known) if update.version == known => self.confirm_suspicion(now, update),
             Some(_) => {}
-            // No record is kept of a member that is dead or left and was never known.
+            // A member that is dead or has left is not recorded if it was not known before.
             None if update.version.state.is_active() => {
                 self.store_member_update(now, update, None, out);
             }
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Another member suspects the same one: its timeout shortens, and the confirmation is disseminated.
+    /// Handles a report that another member suspects the same one. It shortens the timeout of the suspicion, and the
+    /// confirmation is disseminated.
     fn confirm_suspicion(&mut self, now: Time, update: &MemberUpdate) {
         let Some(record) = self.members.get_mut(&update.name) else {
             return;
@@ -81,7 +82,7 @@
         )
     }
 
-    /// Declares a known member to be in this state, on this member's own account.
+    /// Declares a known member to be in this state, with this member as the one that reports it.
     pub(super) fn declare(
         &mut self,
         now: Time,
@@ -104,12 +105,12 @@
         self.apply_member_update(now, &update, out);
     }
 
-    /// Declares suspects dead that did not refute in time.
+    /// Declares the suspects dead that did not refute the suspicion in time.
     pub(super) fn expire_suspicions(&mut self, now: Time, out: &mut Vec<Output>) {
         let is_isolated = self.local_health_monitor.is_isolated(now);
         for name in self.members.overdue_suspects(now) {
             if is_isolated {
-                // An isolated member does not receive refutations.
+                // An isolated member can't receive refutations, so a missing one is no evidence.
                 self.postpone_suspicion(&name);
                 continue;
             }
@@ -121,7 +122,7 @@
     fn postpone_suspicion(&mut self, name: &str) {
         let record = self.members.get_mut(name);
         if let Some(suspicion) = record.and_then(|record| record.suspicion.as_mut()) {
-            suspicion.postpone(ISOLATED_POSTPONEMENT);
+            suspicion.postpone(POSTPONEMENT_WHILE_ISOLATED);
         }
     }
 }
--- a/crates/membership/src/membership/output.rs
+++ b/crates/membership/src/membership/output.rs
@@ -1,19 +1,20 @@
-//! What the state machine gives out: actions to carry out, and the members as an operator sees them.
+//! The outputs of the state machine, and the members as they are shown to an operator.
 use crate::local_health::LocalHealth;
 use crate::member_state::MemberState;
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// An action to carry out, or a change to report; to be handled in order.
+/// An action for the caller to carry out, or a change to report. Outputs must be handled in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
     Send {
-        /// The receiver's name; empty where it is not known yet.
+        /// The receiver's name; empty if it is not known yet, as for a seed.
         name: String,
-        /// The address that the receiver announced.
+        /// The address to send to: the one that the receiver announced, a configured seed, or the source address of a datagram
+        /// that is answered.
         address: String,
-        /// The datagram.
+        /// The encoded datagram.
         bytes: Vec<u8>,
     },
     /// Another member's state or incarnation changed.
@@ -25,29 +26,29 @@
 /// A change of another member's state or incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberChange {
-    /// The member's name.
+    /// The name of the member that changed.
     pub name: String,
-    /// Its state now.
+    /// Its new state.
     pub state: MemberState,
-    /// The name of the member that found the change; this member's own name where it did itself.
+    /// The name of the member that detected the change; this member's own name if it did so itself.
     pub reported_by: String,
-    /// Whether it is another incarnation than before.
+    /// Whether another incarnation was known before, that is, the member was restarted.
     pub restarted: bool,
 }
 
-/// Another member as an operator sees it.
+/// Another member as it is shown to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// The name of the member.
     pub name: String,
-    /// The address that it announces.
+    /// The address that it announced last.
     pub address: String,
-    /// Its state.
+    /// Its latest known state.
     pub state: MemberState,
-    /// When it entered this state, by this member's clock.
+    /// When this member learned of that state or of a restart, by its own monotonic clock.
     pub since: Time,
-    /// The name of the member that found it in this state.
+    /// The name of the member that detected this state.
     pub reported_by: String,
-    /// The round-trip time of its last acknowledged probe.
+    /// The round-trip time of the last probe that the member acknowledged itself; `None` before the first one.
     pub rtt: Option<Duration>,
 }
--- a/crates/membership/src/membership/own_identity.rs
+++ b/crates/membership/src/membership/own_identity.rs
@@ -1,20 +1,20 @@
-//! This member's own version: refutation of suspicions, and conflicts over its name.
+//! This member's own version: how it refutes suspicions, and what it does if another process uses its name.
 use super::{Membership, Output, Participation};
 use crate::local_health::LocalHealth;
 use crate::member_state::{MemberState, MemberVersion};
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// For this long after the start, another process under this member's name is assumed to be its previous incarnation.
+/// For this long after the start, another process that uses this member's name is taken for its previous incarnation.
 const STARTUP_PERIOD: Duration = Duration::from_secs(10);
-/// Conflicts over the name after which the other process keeps it ...
-const MAX_CONFLICTS: u32 = 2;
-/// ... if they happen within this time.
-const CONFLICT_WINDOW: Duration = Duration::from_secs(60);
-/// Counts of refutations or writes from here on are taken for forged: no process reaches them.
+/// The number of lost conflicts within [`NAME_CONFLICT_WINDOW`] after which this member gives up its name.
+const NAME_CONFLICT_LIMIT: u32 = 2;
+/// The window of time in which lost conflicts over the name are counted.
+const NAME_CONFLICT_WINDOW: Duration = Duration::from_secs(60);
+/// Counts of refutations or writes from this value on are treated as forged, since no process reaches them.
 pub(super) const IMPLAUSIBLE_COUNT: u32 = u32::MAX / 2;
 
-/// Conflicts over this member's name that it lost, within a window of time.
+/// Counts the conflicts over this member's name that it lost within a window of time.
 #[derive(Clone)]
 pub(super) struct NameConflicts {
     count: u32,
@@ -30,7 +30,7 @@
     }
 
     fn record(&mut self, now: Time) {
-        if now.duration_since(self.window_start) > CONFLICT_WINDOW {
+        if now.duration_since(self.window_start) > NAME_CONFLICT_WINDOW {
             *self = NameConflicts::new(now);
         }
         self.count += 1;
@@ -38,7 +38,8 @@
 }
 
 impl Membership {
-    /// Handles what others report of this member: a suspicion is refuted, another incarnation is a conflict over the name.
+    /// Handles an update about this member. A suspicion or a report of its death is refuted. A later incarnation under its name
+    /// is a conflict over the name.
     pub(super) fn handle_update_of_self(
         &mut self,
         now: Time,
@@ -52,7 +53,7 @@
             return;
         }
         if reported.state == MemberState::Left || reported.refutations >= IMPLAUSIBLE_COUNT {
-            // Only this member itself announces that it leaves, and it never refuted that often.
+            // Such a report is forged: only this member announces that it leaves, and it can't have refuted that often.
             self.counters.forged += 1;
             self.advance_epoch(now, self.own_version.epoch + 1);
             return;
@@ -73,12 +74,12 @@
         self.enqueue_own_version(now);
     }
 
-    /// Handles an encounter with another process, or another incarnation of this one, under this member's name.
+    /// Handles a report of another process, or of another incarnation of this one, under this member's name.
     ///
-    /// Right after a start it is the previous incarnation, on a clock that was ahead: the epoch is raised above it. Why not
-    /// always: two processes that are configured under one name would raise theirs in turn for ever. The one that has run for
-    /// longer gives up the name, and reports that. A malicious peer that keeps forging conflicts can thereby silence a front's
-    /// gossip; the front's own limits do not depend on it.
+    /// Soon after the start it is taken for the previous incarnation, whose wall clock was ahead, and this member raises its
+    /// epoch above that one's. It does not do so forever: two running processes that are configured with one name would keep
+    /// raising their epochs in turn. Instead, the one that has run for longer gives up the name and reports that. A malicious
+    /// peer that keeps forging conflicts can thereby stop a front's gossip, but the front's own limits do not depend on gossip.
     pub(super) fn handle_name_conflict(
         &mut self,
         now: Time,
@@ -92,7 +93,7 @@
         }
         self.name_conflicts.record(now);
         let is_established = now.duration_since(self.started_at) >= STARTUP_PERIOD;
-        if is_established && self.name_conflicts.count >= MAX_CONFLICTS {
+        if is_established && self.name_conflicts.count >= NAME_CONFLICT_LIMIT {
             self.give_up_name(out);
             return;
         }
@@ -105,7 +106,7 @@
         out.push(Output::LocalHealthChanged(LocalHealth::Replaced));
     }
 
-    /// Raises the own epoch; the own entries are written again under it.
+    /// Raises this member's epoch and writes its entries again under the new one.
     pub(super) fn advance_epoch(&mut self, now: Time, epoch: u64) {
         self.own_version.epoch = epoch;
         self.own_version.refutations = 0;
--- a/crates/membership/src/membership/probe.rs
+++ b/crates/membership/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: first direct, then through helpers. A member that answers neither way becomes suspect.
+//! Probes. A member is first probed directly, then through helpers, and becomes suspect if it answers neither.
 use super::dissemination::Message;
 use super::gossip_queue::GossipItem;
 use super::{Membership, Output};
@@ -7,18 +7,18 @@
 use crate::wire::Body;
 use crankpaddle_time::Time;
 
-/// How far a probe has come.
+/// The phase of a probe.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ProbePhase {
-    /// A direct answer is awaited until this time.
+    /// A direct acknowledgement is awaited until this time.
     AwaitingDirectAck { until: Time },
-    /// Helpers were asked to probe the target.
+    /// The direct acknowledgement is overdue, and helpers were asked to probe the target.
     AwaitingIndirectAck,
-    /// The target answered.
+    /// The target acknowledged the probe, directly or through a helper.
     Acknowledged,
 }
 
-/// The probe in progress.
+/// The probe that this member has in progress.
 #[derive(Clone)]
 pub(super) struct Probe {
     target: String,
@@ -26,12 +26,14 @@
     sent_at: Time,
     phase: ProbePhase,
     ends_at: Time,
+    /// The number of helpers that were asked.
     helpers: usize,
+    /// The number of helpers that sent a nack.
     nacks: usize,
 }
 
 impl Probe {
-    /// When the probe must be looked at next.
+    /// When the probe must be advanced next.
     pub(super) fn next_expiry(&self) -> Time {
         match self.phase {
             ProbePhase::AwaitingDirectAck { until } => until,
@@ -49,7 +51,7 @@
 }
 
 impl Membership {
-    /// Carries the probe in progress on, and begins the next one when it is time.
+    /// Advances the probe in progress, and begins the next one when it is due.
     pub(super) fn run_probe(&mut self, now: Time, out: &mut Vec<Output>) {
         self.request_indirect_probes(now, out);
         if let Some(probe) = self.probe.take_if(|probe| now >= probe.ends_at) {
@@ -67,7 +69,7 @@
             return;
         };
         let sequence = self.next_sequence();
-        // A suspect is sent its state, so that it can refute at once.
+        // The ping to a suspect carries the suspicion, so that the suspect can refute it at once.
         let items: Vec<GossipItem> = match self.members.state(&target) {
             Some(MemberState::Suspect) => vec![GossipItem::Member(target.clone())],
             _ => Vec::new(),
@@ -93,7 +95,7 @@
         });
     }
 
-    /// The next active member of the probe round; `None` if there is none.
+    /// The next active member of the probe round; `None` if no member is active.
     fn next_probe_target(&mut self) -> Option<String> {
         loop {
             if let Some(name) = self.probe_round.pop() {
@@ -102,7 +104,8 @@
                 }
                 continue;
             }
-            // Every member is probed once a round, in a new random order: this bounds the time until a death is detected.
+            // Each round probes every active member once in a new random order, which bounds the time until a death is
+            // detected.
             self.probe_round = self.choose_members(usize::MAX, "");
             if self.probe_round.is_empty() {
                 return None;
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Asks helpers to probe the target once the direct answer is overdue.
+    /// Asks helpers to probe the target once its direct acknowledgement is overdue.
     fn request_indirect_probes(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(probe) = self
             .probe
@@ -131,7 +134,7 @@
                 helpers += 1;
             }
         }
-        // Once more directly as well: one lost datagram is more likely than a death.
+        // The target is also probed directly once more, since a lost datagram is more likely than a death.
         let ping = Body::Ping { sequence };
         let items = [GossipItem::Member(target.clone())];
         self.send_to_member(now, &target, Message::new(&ping).with_items(&items), out);
@@ -147,8 +150,8 @@
         if probe.is_acknowledged() {
             return;
         }
-        // Why: a front whose own link is bad would suspect all others. If the helpers did not even send a nack, it is this front
-        // that can't be reached.
+        // A missing nack shows that this member is likely to be the one that can't be reached. Without this check a member
+        // whose own link is bad would suspect all others.
         if probe.nacks < probe.helpers {
             self.local_health_monitor.worsen();
         }
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Handles an acknowledgement of an own probe, or of one made on behalf of another member.
+    /// Handles an acknowledgement of this member's own probe, or of one that it made on behalf of another member.
     pub(super) fn handle_ack(
         &mut self,
         now: Time,
@@ -179,7 +182,8 @@
             return;
         };
         probe.phase = ProbePhase::Acknowledged;
-        // An answer that came within a stretched timeout does not delay the next probe further.
+        // While this member's own health is bad a probe lasts longer than the probe interval. Once the target has answered, the
+        // next probe need not wait until then.
         let regular_end = probe.sent_at + self.config.probe_interval;
         probe.ends_at = probe.ends_at.min(regular_end.max(now));
         if probe.target == from {
@@ -190,7 +194,7 @@
         }
     }
 
-    /// Handles a helper's answer that the target did not answer it.
+    /// Handles a nack: the target did not answer the helper, but the helper is alive.
     pub(super) fn handle_nack(&mut self, sequence: u32) {
         if let Some(probe) = &mut self.probe {
             if probe.sequence == sequence {
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Received datagrams: which of them are accepted, and how they are answered.
+//! Received datagrams: which ones are accepted, and how they are answered.
 use super::dissemination::{Destination, Message, ANSWER_RESERVE};
 use super::gossip_queue::GossipItem;
 use super::{Membership, Output};
@@ -38,7 +38,8 @@
         self.update_local_health(now, out);
     }
 
-    /// A datagram whose sender has this member's name: its own, returned, or another process's.
+    /// Handles a datagram whose sender uses this member's name. It is either one of its own that came back, or another process
+    /// sent it.
     fn handle_own_name(&mut self, now: Time, version: MemberVersion, out: &mut Vec<Output>) {
         if version.incarnation != self.own_version.incarnation {
             self.handle_name_conflict(now, version, out);
@@ -52,10 +53,11 @@
             .is_some_and(|known| known.supersedes(&version) && !known.is_same_incarnation(&version))
     }
 
-    /// Drops a datagram of a previous incarnation. Why: those still in transit would undo what its successor announced.
+    /// Drops a datagram of a previous incarnation. Such a datagram may still have been in transit, and would undo what the
+    /// sender's present incarnation announced.
     ///
-    /// The sender is sent the known version all the same: it may be the successor, on a host whose wall clock was set back,
-    /// and then it raises its epoch.
+    /// The known version is sent to the sender nevertheless. The sender may be the present incarnation, on a host whose wall
+    /// clock was set back, and then it raises its epoch.
     fn reject_previous_incarnation(
         &mut self,
         now: Time,
@@ -150,7 +152,7 @@
         sequence: u32,
         out: &mut Vec<Output>,
     ) {
-        // A sender that is not known as alive is sent its state, so that it refutes it.
+        // A sender that is known as suspect, dead or left gets that state with the answer, so that it can refute it.
         let items: Vec<GossipItem> = match self.members.state(sender.name) {
             None | Some(MemberState::Alive) => Vec::new(),
             Some(_) => vec![GossipItem::Member(sender.name.to_owned())],
@@ -159,8 +161,9 @@
         self.send(now, sender, Message::new(&ack).with_items(&items), out);
     }
 
-    /// Whether a request of a member is answered. Why a limit: a member that floods would have this one answer as fast as it
-    /// asks. The updates that come with its requests are applied all the same.
+    /// Whether a request of a member is answered. The number of answers per second is limited, so that a member which floods
+    /// this one with requests can't make it answer at the same rate. The updates that come with such requests are applied
+    /// nevertheless.
     fn may_answer(&mut self, now: Time, name: &str) -> bool {
         let Some(record) = self.members.get_mut(name) else {
             return true;
--- a/crates/membership/src/membership/rejoin.rs
+++ b/crates/membership/src/membership/rejoin.rs
@@ -1,4 +1,5 @@
-//! Rejoining: dead members and seeds are probed from time to time, and members that have been dead or left for long are removed.
+//! Rejoining: dead members and unreached seeds are probed from time to time. Members that have been dead, or left, for long are
+//! removed.
 use super::dissemination::{Destination, Message, GOSSIP_RESERVE};
 use super::gossip_queue::GossipItem;
 use super::{Membership, Output};
@@ -7,24 +8,24 @@
 use crankpaddle_time::Time;
 use std::time::Duration;
 
-/// Time between two attempts to reach a dead member or a seed.
+/// The time between two attempts to reach a dead member and a seed.
 const REJOIN_INTERVAL: Duration = Duration::from_secs(2);
-/// Members that are dead or left for longer than this are removed.
-const REMOVE_AFTER: Duration = Duration::from_secs(600);
+/// How long a member that is dead or has left is kept before it is removed.
+const INACTIVE_RETENTION: Duration = Duration::from_secs(600);
 
 impl Membership {
     /// Probes one dead member and one seed that is not an active member.
     ///
-    /// Why: after a partition each side has declared the other dead, and would never probe it again. The ping carries the state
-    /// that is known of the receiver, so that the receiver refutes it.
+    /// After a partition each side has declared the members of the other side dead, and would never probe them again otherwise.
+    /// The ping to a dead member carries the state that is known of it, so that it can refute that.
     pub(super) fn rejoin(&mut self, now: Time, out: &mut Vec<Output>) {
         self.rejoin_at = now + REJOIN_INTERVAL;
-        self.remove_expired(now);
-        let dead = self.dead_members();
+        self.remove_inactive(now);
+        let dead_members = self.dead_members();
         let ping = Body::Ping {
             sequence: self.next_sequence(),
         };
-        if let Some(name) = self.choose_one(&dead) {
+        if let Some(name) = self.choose_one(&dead_members) {
             let items = [GossipItem::Member(name.clone())];
             let message = Message::new(&ping)
                 .with_items(&items)
@@ -42,12 +43,13 @@
         }
     }
 
-    fn remove_expired(&mut self, now: Time) {
+    /// Removes the members that have been dead, or left, for [`INACTIVE_RETENTION`].
+    fn remove_inactive(&mut self, now: Time) {
         let expired: Vec<String> = self
             .members
             .iter()
             .filter(|(_, record)| !record.version.state.is_active())
-            .filter(|(_, record)| now.duration_since(record.since) >= REMOVE_AFTER)
+            .filter(|(_, record)| now.duration_since(record.since) >= INACTIVE_RETENTION)
             .map(|(name, _)| name.clone())
             .collect();
         for name in expired {
@@ -64,7 +66,7 @@
             .collect()
     }
 
-    /// Seeds at whose address no active member is known.
+    /// The seeds at whose address no active member is known.
     fn unreached_seeds(&self) -> Vec<String> {
         let is_reached = |seed: &String| {
             self.members
@@ -79,7 +81,7 @@
             .collect()
     }
 
-    /// One of these at random.
+    /// Chooses one of the candidates at random; `None` if there are none.
     fn choose_one(&mut self, candidates: &[String]) -> Option<String> {
         if candidates.is_empty() {
             return None;
--- a/crates/membership/src/membership/tests.rs
+++ b/crates/membership/src/membership/tests.rs
@@ -1,5 +1,6 @@
-//! Model checking: three members whose datagrams are delivered in any order, late, twice or never, with false accusations, a
-//! restart, and a member that leaves in order. The members are the real state machine; only time stands still.
+//! Model checking of three members. Their datagrams are delivered in any order, late, more than once or never, members are
+//! falsely declared suspect or dead, one member restarts, and one leaves. The members are the real state machine; only the time
+//! is constant.
 use super::{Membership, MembershipConfig};
 use crate::member_state::{MemberState, MemberVersion};
 use crate::wire::{Body, DatagramBuilder};
@@ -7,7 +8,7 @@
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
-/// What only the model needs of a member.
+/// Methods that only the model needs.
 impl Membership {
     fn version_of(&self, name: &str) -> Option<MemberVersion> {
         if name == self.config.name {
@@ -17,17 +18,17 @@
         }
     }
 
-    /// A datagram with everything that is known of the other members.
+    /// A datagram with everything that this member knows of the other members.
     fn full_gossip(&self, to: &str) -> Vec<u8> {
         let mut builder = DatagramBuilder::new(&self.header(to), &Body::Gossip);
         for (name, _) in self.members.iter() {
             let update = self.member_update(name).expect("a known member");
-            assert!(builder.add_member_update(&update), "it fits");
+            assert!(builder.add_member_update(&update), "the update fits");
         }
         builder.finish(&self.config.key)
     }
 
-    /// Declares a member to be in a later state, without a reason.
+    /// Falsely declares a member to be suspect or dead.
     fn accuse(&mut self, name: &str, state: MemberState) {
         if self.state_of(name).is_some_and(|known| known < state) {
             self.declare(Time(0), name, state, &mut Vec::new());
@@ -37,14 +38,14 @@
 
 const MEMBERS: usize = 3;
 
-fn name(i: usize) -> String {
-    ["a", "b", "c"][i].to_owned()
+fn name(member: usize) -> String {
+    ["a", "b", "c"][member].to_owned()
 }
 
-fn start(i: usize, epoch: u64, incarnation: u64) -> Membership {
+fn start(member: usize, epoch: u64, incarnation: u64) -> Membership {
     let config = MembershipConfig {
-        name: name(i),
-        address: name(i),
+        name: name(member),
+        address: name(member),
         epoch,
         incarnation,
         ..MembershipConfig::default()
@@ -52,28 +53,32 @@
     Membership::new(config, 1, Time(0))
 }
 
-/// The version that each member knows of each, itself included.
+/// The version that each member knows of each member, including itself.
 type Views = Vec<Vec<Option<MemberVersion>>>;
 
-/// A sent datagram: the number of the receiver, and the bytes.
+/// A sent datagram: the index of its receiver, and its bytes.
 type Delivery = (usize, Vec<u8>);
 
+/// The state of the model. The numbers of actions are those that are still allowed.
 #[derive(Clone)]
 struct Fleet {
     members: Vec<Membership>,
     running: Vec<bool>,
-    network: Vec<Delivery>, // Sent datagrams, which may be delivered once or more.
+    network: Vec<Delivery>, // Sent datagrams. Each may be delivered never, once or more often.
     gossips: u8,
     accusations: u8,
     restarts: u8,
     leaves: u8,
-    regressed: bool, // Some member replaced what it knew by something earlier.
+    regressed: bool, // Whether some member replaced a version by an earlier one.
 }
 
 impl Fleet {
     fn views(&self) -> Views {
-        let view =
-            |member: &Membership| (0..MEMBERS).map(|j| member.version_of(&name(j))).collect();
+        let view = |member: &Membership| {
+            (0..MEMBERS)
+                .map(|known| member.version_of(&name(known)))
+                .collect()
+        };
         self.members.iter().map(view).collect()
     }
 
@@ -98,47 +103,60 @@
         self.running[member] = false;
     }
 
-    /// Whether a member knows an earlier version of any than it did; a restarted one may.
+    /// Whether some member knows an earlier version of a member than before. A restarted member may.
     fn has_regressed_since(&self, before: &Fleet, action: Action) -> bool {
         let (old, new) = (before.views(), self.views());
-        let is_restarted =
-            |i: usize| matches!(action, Action::Restart { member, .. } if member == i);
-        (0..MEMBERS).filter(|i| !is_restarted(*i)).any(|i| {
-            (0..MEMBERS).any(|j| match (old[i][j], new[i][j]) {
-                (Some(old), Some(new)) => old.supersedes(&new),
-                (old, new) => old.is_some() && new.is_none(),
+        let is_restarted = |observer: usize| matches!(action, Action::Restart { member, .. } if member == observer);
+        (0..MEMBERS)
+            .filter(|observer| !is_restarted(*observer))
+            .any(|observer| {
+                (0..MEMBERS).any(|known| match (old[observer][known], new[observer][known]) {
+                    (Some(old), Some(new)) => old.supersedes(&new),
+                    (old, new) => old.is_some() && new.is_none(),
+                })
             })
-        })
     }
 
-    /// All running members gossip to each other until nothing changes; then each must see each as alive.
+    /// Whether all running members see each other as alive after they have gossiped until nothing changes any more.
     fn agrees_once_healed(&self) -> bool {
         let mut fleet = self.clone();
         fleet.network.clear();
         for _ in 0..8 {
-            for from in (0..MEMBERS).filter(|i| self.running[*i]) {
-                for to in (0..MEMBERS).filter(|i| self.running[*i] && *i != from) {
+            for from in (0..MEMBERS).filter(|member| self.running[*member]) {
+                for to in (0..MEMBERS).filter(|to| self.running[*to] && *to != from) {
                     let bytes = fleet.members[from].full_gossip(&name(to));
                     fleet.deliver(to, &bytes);
                 }
             }
         }
-        let alive = |v: &Option<MemberVersion>| v.is_some_and(|v| v.state == MemberState::Alive);
+        let is_alive = |version: &Option<MemberVersion>| {
+            version.is_some_and(|version| version.state == MemberState::Alive)
+        };
         let views = fleet.views();
-        (0..MEMBERS).filter(|i| self.running[*i]).all(|i| {
-            (0..MEMBERS)
-                .filter(|j| self.running[*j])
-                .all(|j| alive(&views[i][j]))
-        })
+        (0..MEMBERS)
+            .filter(|observer| self.running[*observer])
+            .all(|observer| {
+                (0..MEMBERS)
+                    .filter(|known| self.running[*known])
+                    .all(|known| is_alive(&views[observer][known]))
+            })
     }
 }
 
 impl PartialEq for Fleet {
     fn eq(&self, other: &Fleet) -> bool {
-        let rest = |f: &Fleet| (f.gossips, f.accusations, f.restarts, f.leaves, f.regressed);
+        let remaining_fields = |fleet: &Fleet| {
+            (
+                fleet.gossips,
+                fleet.accusations,
+                fleet.restarts,
+                fleet.leaves,
+                fleet.regressed,
+            )
+        };
         self.running == other.running
             && self.network == other.network
-            && rest(self) == rest(other)
+            && remaining_fields(self) == remaining_fields(other)
             && self.views() == other.views()
     }
 }
@@ -160,7 +178,7 @@
 
 impl std::fmt::Debug for Fleet {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "runs {:?} views {:?}", self.running, self.views())
+        write!(f, "running {:?}, views {:?}", self.running, self.views())
     }
 }
 
@@ -187,7 +205,7 @@
     },
 }
 
-/// How many actions of each kind a run has at most.
+/// The maximum number of actions of each kind in one run of the model.
 struct Bounds {
     gossips: u8,
     accusations: u8,
@@ -201,7 +219,9 @@
 
     fn init_states(&self) -> Vec<Fleet> {
         let mut fleet = Fleet {
-            members: (0..MEMBERS).map(|i| start(i, 10, i as u64)).collect(),
+            members: (0..MEMBERS)
+                .map(|member| start(member, 10, member as u64))
+                .collect(),
             running: vec![true; MEMBERS],
             network: Vec::new(),
             gossips: self.gossips,
@@ -220,30 +240,33 @@
     }
 
     fn actions(&self, fleet: &Fleet, actions: &mut Vec<Action>) {
-        for i in (0..MEMBERS).filter(|i| fleet.running[*i]) {
-            for j in (0..MEMBERS).filter(|j| *j != i) {
+        for member in (0..MEMBERS).filter(|member| fleet.running[*member]) {
+            for other in (0..MEMBERS).filter(|other| *other != member) {
                 if fleet.gossips > 0 {
-                    actions.push(Action::Gossip { from: i, to: j });
+                    actions.push(Action::Gossip {
+                        from: member,
+                        to: other,
+                    });
                 }
                 if fleet.accusations > 0 {
                     actions.extend([MemberState::Suspect, MemberState::Dead].map(|state| {
                         Action::Accuse {
-                            accuser: i,
-                            accused: j,
+                            accuser: member,
+                            accused: other,
                             state,
                         }
                     }));
                 }
             }
             if fleet.leaves > 0 {
-                actions.push(Action::Leave { member: i });
+                actions.push(Action::Leave { member });
             }
         }
         if fleet.restarts > 0 {
-            // A wall clock that went on, and one that was set back.
+            // The epoch is later than the first one, or earlier because the wall clock was set back.
             actions.extend(
                 (0..MEMBERS)
-                    .flat_map(|i| [11, 5].map(|epoch| Action::Restart { member: i, epoch })),
+                    .flat_map(|member| [11, 5].map(|epoch| Action::Restart { member, epoch })),
             );
         }
         actions.extend((0..fleet.network.len()).map(|index| Action::Deliver { index }));
@@ -262,7 +285,7 @@
                 fleet.network.sort();
             }
             Action::Deliver { index } => {
-                let (to, bytes) = fleet.network[index].clone(); // It stays: it may be delivered again.
+                let (to, bytes) = fleet.network[index].clone(); // It stays in the network, since it may be delivered again.
                 fleet.deliver(to, &bytes);
             }
             Action::Accuse {
@@ -287,27 +310,31 @@
     fn properties(&self) -> Vec<Property<Bounds>> {
         vec![
             Property::always(
-                "no member replaces what it knows by something earlier",
+                "no member replaces a version by an earlier one",
                 |_, fleet: &Fleet| !fleet.regressed,
             ),
             Property::always(
-                "a member that left does not come back from delayed gossip",
+                "delayed gossip does not bring back a member that left",
                 |_, fleet: &Fleet| {
                     // No member may know a later version of a stopped member's incarnation than that member had itself.
                     let views = fleet.views();
-                    (0..MEMBERS).filter(|j| !fleet.running[*j]).all(|j| {
-                        let own = views[j][j];
-                        (0..MEMBERS).filter(|i| *i != j).all(|i| {
-                            let (Some(own), Some(view)) = (own, views[i][j]) else {
-                                return true;
-                            };
-                            !view.is_same_incarnation(&own) || !view.supersedes(&own)
-                        })
+                    let mut stopped_members = (0..MEMBERS).filter(|member| !fleet.running[*member]);
+                    stopped_members.all(|stopped| {
+                        let own = views[stopped][stopped];
+                        (0..MEMBERS)
+                            .filter(|observer| *observer != stopped)
+                            .all(|observer| {
+                                let (Some(own), Some(view)) = (own, views[observer][stopped])
+                                else {
+                                    return true;
+                                };
+                                !view.is_same_incarnation(&own) || !view.supersedes(&own)
+                            })
                     })
                 },
             ),
             Property::always(
-                "once the network is healed, every running member is alive to all",
+                "once the network has healed, all running members see each other as alive",
                 |_, fleet: &Fleet| fleet.agrees_once_healed(),
             ),
         ]
@@ -318,7 +345,7 @@
     let started = std::time::Instant::now();
     let checker = bounds.checker().threads(4).spawn_bfs().join();
     eprintln!(
-        "{} states, {} of them different, in {:?}",
+        "{} states, {} of them unique, in {:?}",
         checker.state_count(),
         checker.unique_state_count(),
         started.elapsed()
@@ -326,7 +353,7 @@
     checker.assert_properties();
     assert!(
         checker.unique_state_count() >= min_states,
-        "the model is smaller than it was"
+        "the model has fewer states than expected"
     );
 }
 
@@ -344,7 +371,7 @@
 }
 
 #[test]
-fn members_agree_after_a_restart_also_with_the_wall_clock_set_back() {
+fn members_agree_after_a_restart_even_if_the_wall_clock_was_set_back() {
     check_model(
         Bounds {
             gossips: 3,
--- a/crates/membership/src/token_bucket.rs
+++ b/crates/membership/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket: a fixed rate of datagrams or bytes, whatever the number of members is.
+//! A token bucket, which limits datagrams or bytes to a fixed rate that does not depend on the number of members.
 #[cfg(test)]
 mod tests;
 
@@ -6,7 +6,7 @@
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// Tokens of one kind, refilled at a fixed rate up to one second's worth.
+/// A bucket of tokens that is refilled at a fixed rate. It holds the tokens of one second at most.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     tokens_per_second: f64,
@@ -24,14 +24,15 @@
         }
     }
 
-    /// Takes `amount` tokens if `reserve` (a fraction of one second's worth) remains; false if there are too few.
+    /// Takes `amount` tokens if at least the fraction `reserve` of the bucket's capacity remains after that. Returns whether
+    /// they were taken.
     pub(crate) fn try_take(&mut self, now: Time, amount: f64, reserve: f64) -> bool {
         self.refill(now);
-        let enough = self.tokens - amount >= reserve * self.tokens_per_second;
-        if enough {
+        let is_available = self.tokens - amount >= reserve * self.tokens_per_second;
+        if is_available {
             self.tokens -= amount;
         }
-        enough
+        is_available
     }
 
     fn refill(&mut self, now: Time) {
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_datagram_is_decoded_and_damaged_or_foreign_ones_are_rejected() {
-    let (key, other) = ([1; 16], [2; 16]);
+fn a_datagram_is_decoded_and_corrupted_or_foreign_ones_are_rejected() {
+    let (key, other_key) = ([1; 16], [2; 16]);
     let mut builder = DatagramBuilder::new(&header(), &Body::Ping { sequence: 5 });
     let update = MemberUpdate {
         name: "c".into(),
@@ -31,29 +31,35 @@
     };
     assert!(builder.add_member_update(&update));
     let bytes = builder.finish(&key);
-    let datagram = decode(&key, &bytes).expect("whole");
+    let datagram = decode(&key, &bytes).expect("a valid datagram");
     assert_eq!(
         (&datagram.body, &datagram.member_updates[..]),
         (&Body::Ping { sequence: 5 }, &[update][..])
     );
     assert_eq!(
-        decode(&other, &bytes),
+        decode(&other_key, &bytes),
         Err(DecodeError::ChecksumMismatch),
-        "another fleet"
+        "the key of another fleet"
     );
-    let mut later = bytes.clone();
-    later[2] = 2;
-    assert_eq!(decode(&key, &later), Err(DecodeError::UnsupportedVersion));
-    for cut in 0..bytes.len() {
-        assert!(decode(&key, &bytes[..cut]).is_err(), "cut at {cut}");
+    let mut later_version = bytes.clone();
+    later_version[2] = 2;
+    assert_eq!(
+        decode(&key, &later_version),
+        Err(DecodeError::UnsupportedVersion)
+    );
+    for length in 0..bytes.len() {
+        assert!(
+            decode(&key, &bytes[..length]).is_err(),
+            "truncated to {length}"
+        );
     }
-    for at in 3..bytes.len() {
-        let mut damaged = bytes.clone();
-        damaged[at] ^= 0x10;
+    for index in 3..bytes.len() {
+        let mut corrupted = bytes.clone();
+        corrupted[index] ^= 0x10;
         assert_eq!(
-            decode(&key, &damaged),
+            decode(&key, &corrupted),
             Err(DecodeError::ChecksumMismatch),
-            "damaged at {at}"
+            "byte {index} is corrupted"
         );
     }
 }
@@ -79,7 +85,7 @@
 }
 
 #[test]
-fn a_datagram_stays_within_its_size_limit() {
+fn a_datagram_never_exceeds_the_size_limit() {
     let mut builder = DatagramBuilder::new(&header(), &Body::Gossip);
     let update = MemberUpdate {
         name: "n".repeat(60),
@@ -93,7 +99,7 @@
     let bytes = builder.finish(&[0; 16]);
     assert!(
         count > 5 && bytes.len() <= MAX_DATAGRAM_BYTES,
-        "{count} in {} bytes",
+        "{count} updates in {} bytes",
         bytes.len()
     );
 }
--- a/crates/membership/tests/wire_bytes.rs
+++ b/crates/membership/tests/wire_bytes.rs
@@ -1,5 +1,8 @@
-//! Wire bytes: the exact datagrams of each kind that members with fixed seeds and a fixed clock write, and that they are read.
-//! Names in the code may change; the literals here may not.
+//! Pins the datagram format: members with fixed seeds and a fixed clock must send exactly these datagrams, and must decode them
+//! to these contents. Names in the code may change, but the literals of this file must not.
+//!
+//! The literals label the kinds of datagrams: "ping for" is a request for an indirect probe, "want" is a pull, and "news" are
+//! updates of members.
 use crankpaddle_membership::{Membership, MembershipConfig, Output};
 use crankpaddle_time::{nanoseconds, Time};
 use siphasher::sip::SipHasher24;
@@ -8,9 +11,12 @@
 
 const MILLISECOND: u64 = 1_000_000;
 const KEY: [u8; 16] = *b"a key of a fleet";
-const KINDS: [&str; 7] = [
+/// The labels of the kinds of bodies, in the order in which they are encoded.
+const BODY_LABELS: [&str; 7] = [
     "ping", "ping for", "ack", "nack", "gossip", "digest", "want",
 ];
+/// For each kind of datagram its label, the first one of that kind that is sent, and what a member that does not know any other
+/// one decodes it to.
 const DATAGRAMS: &[(&str, &str, &str)] = &[
     ("ack", "637001b6f8f08f844994d001200001620a31302e302e302e323a3782d095ffbc318280f0d589cf959a12000001610202000202", "b 10.0.0.2:7 0 by b; dropped 0; answers []"),
     ("ack with news", "6370013733dc6dc0e0d01e01200001610a31302e302e302e313a3781d095ffbc318180f0d589cf959a1200000162020200020f03200001640a31302e302e302e343a3784d095ffbc318480f0d589cf959a1200010162", "a 10.0.0.1:7 0 by a; d 10.0.0.4:7 1 by b; dropped 0; answers []"),
@@ -26,28 +32,30 @@
     ("ping with an entry", "63700177b465221b3672f4011f0001620a31302e302e302e323a3782d095ffbc318280f0d589cf959a12000000020200000104180001620782d095ffbc318280f0d589cf959a12010003010203", "b 10.0.0.2:7 0 by b; b/7 [1, 2, 3] 0 (1700000000002, 1311768467463733250, 1); dropped 0; answers [\"ack with news with an entry\"]"),
     ("ping with news", "637001cd683637af3d184601200001620a31302e302e302e323a3782d095ffbc318280f0d589cf959a1200000164020200000e03200001640a31302e302e302e343a3784d095ffbc318480f0d589cf959a1200000164", "b 10.0.0.2:7 0 by b; dropped 0; answers [\"ack with news\"]"),
 ];
-const WANT: &str = "6370019e8698157db09c3b01200001620a31302e302e302e323a3782d095ffbc318280f0d589cf959a1200000161020d00060201630164020163c801620703200001610a31302e302e302e313a3781d095ffbc318180f0d589cf959a1200000161";
-const WANT_DECODED: &str = "b 10.0.0.2:7 0 by b; dropped 0; answers [\"gossip with news\"]";
+/// The answer to the digest by a member that does not know any other one.
+const PULL: &str = "6370019e8698157db09c3b01200001620a31302e302e302e323a3782d095ffbc318280f0d589cf959a1200000161020d00060201630164020163c801620703200001610a31302e302e302e313a3781d095ffbc318180f0d589cf959a1200000161";
+const PULL_DECODED: &str = "b 10.0.0.2:7 0 by b; dropped 0; answers [\"gossip with news\"]";
+/// The datagram that announces a leave.
 const LEAVE: &str = "63700172d03bec45742e6b01200001610a31302e302e302e313a3781d095ffbc318180f0d589cf959a120003016202010004";
-/// Datagrams of the run, and the keyed hash of all their bytes.
-const RUN: (usize, u64) = (340, 0x692884fc5b00e710);
+/// The number of datagrams of the run, and the keyed hash of all their bytes.
+const RUN_SUMMARY: (usize, u64) = (340, 0x692884fc5b00e710);
 
-/// Two letters, the version, the checksum.
-const HEADER: usize = 11;
+/// The offset of the first section, after two magic bytes, the version and the checksum.
+const SECTIONS_OFFSET: usize = 11;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn parse_hex(hex: &str) -> Vec<u8> {
     let digit_pairs = (0..hex.len()).step_by(2);
     digit_pairs
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex"))
+        .map(|offset| u8::from_str_radix(&hex[offset..offset + 2], 16).expect("two digits"))
         .collect()
 }
 
 fn member(name: &str, seed: u64) -> Membership {
-    let settings = MembershipConfig {
+    let config = MembershipConfig {
         name: name.to_owned(),
         address: format!("10.0.0.{seed}:7"),
         epoch: 1_700_000_000_000 + seed,
@@ -60,43 +68,47 @@
         },
         ..MembershipConfig::default()
     };
-    Membership::new(settings, seed, Time(0))
+    Membership::new(config, seed, Time(0))
 }
 
-/// The kinds of a datagram's sections, and the first byte of its body's.
+/// The kinds of a datagram's sections, and the index of the variant of its body.
 fn sections(datagram: &[u8]) -> (Vec<u8>, usize) {
-    let (mut kinds, mut body, mut at) = (Vec::new(), 0, HEADER);
-    while at < datagram.len() {
-        kinds.push(datagram[at]);
-        if datagram[at] == 2 {
-            body = usize::from(datagram[at + 3]);
+    let (mut kinds, mut body_variant, mut offset) = (Vec::new(), 0, SECTIONS_OFFSET);
+    while offset < datagram.len() {
+        kinds.push(datagram[offset]);
+        if datagram[offset] == 2 {
+            body_variant = usize::from(datagram[offset + 3]);
         }
-        at += 3 + usize::from(u16::from_le_bytes([datagram[at + 1], datagram[at + 2]]));
+        let length = u16::from_le_bytes([datagram[offset + 1], datagram[offset + 2]]);
+        offset += 3 + usize::from(length);
     }
-    (kinds, body)
+    (kinds, body_variant)
 }
 
-/// Four members for 20 s; the last is cut off from the 8th second on, and the first leaves at the end. All datagrams, in order.
-fn transcript() -> Vec<Vec<u8>> {
+/// Runs four members for 20 s. The last one is disconnected after 8 s, and the first one leaves at the end. Returns all
+/// datagrams that were sent, in order.
+fn sent_datagrams() -> Vec<Vec<u8>> {
     let mut members: Vec<Membership> = ["a", "b", "c", "d"]
         .into_iter()
         .zip(1..)
         .map(|(name, seed)| member(name, seed))
         .collect();
-    members[1].write(Time(0), 7, vec![1, 2, 3]).expect("short");
+    members[1]
+        .write(Time(0), 7, vec![1, 2, 3])
+        .expect("a short value");
     members[2]
         .write(Time(0), 200, b"value".to_vec())
-        .expect("short");
+        .expect("a short value");
     let mut sent = Vec::new();
     for millisecond in 0..20_000 {
         let now = Time(millisecond * MILLISECOND);
         let mut queue: VecDeque<(usize, Output)> = VecDeque::new();
-        for (at, member) in members.iter_mut().enumerate() {
+        for (index, member) in members.iter_mut().enumerate() {
             let mut out = Vec::new();
             if member.next_expiry() <= now {
                 member.expire(now, &mut out);
             }
-            queue.extend(out.into_iter().map(|output| (at, output)));
+            queue.extend(out.into_iter().map(|output| (index, output)));
         }
         while let Some((from, output)) = queue.pop_front() {
             let Output::Send { address, bytes, .. } = output else {
@@ -105,10 +117,10 @@
             sent.push(bytes.clone());
             let to = members
                 .iter()
-                .position(|m| m.address() == address)
+                .position(|member| member.address() == address)
                 .expect("a member");
-            let deaf = millisecond >= 8000 && (to == 3 || from == 3);
-            if !deaf {
+            let is_disconnected = millisecond >= 8000 && (to == 3 || from == 3);
+            if !is_disconnected {
                 let from = members[from].address().to_owned();
                 let mut out = Vec::new();
                 members[to].receive(now, &from, &bytes, &mut out);
@@ -129,45 +141,49 @@
     }
 }
 
-/// What a datagram is named by: its kind and what comes with it.
-fn name_of(datagram: &[u8]) -> String {
-    let (kinds, body) = sections(datagram);
-    let news = if kinds.contains(&3) { " with news" } else { "" };
-    let entry = if kinds.contains(&4) {
+/// The label of a datagram: its kind and the kinds of updates that come with it.
+fn label(datagram: &[u8]) -> String {
+    let (kinds, body_variant) = sections(datagram);
+    let member_updates = if kinds.contains(&3) { " with news" } else { "" };
+    let entry_updates = if kinds.contains(&4) {
         " with an entry"
     } else {
         ""
     };
-    format!("{}{news}{entry}", KINDS[body])
+    format!(
+        "{}{member_updates}{entry_updates}",
+        BODY_LABELS[body_variant]
+    )
 }
 
-/// A member that knows nobody and reads this datagram, and what it writes for it.
-fn reader(bytes: &[u8]) -> (Membership, Vec<Vec<u8>>) {
-    let head_ends = HEADER + 3 + usize::from(bytes[HEADER + 1]);
-    let (name, seed) = match bytes[head_ends - 1] {
+/// A member that does not know any other one and has received this datagram, and the datagrams that it sent as answers. It has
+/// the name that the datagram is addressed to, the last byte of the header section.
+fn receiver_of(bytes: &[u8]) -> (Membership, Vec<Vec<u8>>) {
+    let header_end = SECTIONS_OFFSET + 3 + usize::from(bytes[SECTIONS_OFFSET + 1]);
+    let (name, seed) = match bytes[header_end - 1] {
         b'a' => ("a", 1),
         b'c' => ("c", 3),
         b'd' => ("d", 4),
         b'b' => ("b", 2),
         _ => ("e", 5),
     };
-    let (mut reader, mut out) = (member(name, seed), Vec::new());
-    reader.receive(Time(0), "10.0.0.9:7", bytes, &mut out);
-    (reader, out.into_iter().filter_map(datagram).collect())
+    let (mut receiver, mut out) = (member(name, seed), Vec::new());
+    receiver.receive(Time(0), "10.0.0.9:7", bytes, &mut out);
+    (receiver, out.into_iter().filter_map(datagram).collect())
 }
 
-/// What a reader took from a datagram: members, entries, and the kinds of its answers.
+/// What a receiver learned from a datagram: members, entries, the number of dropped datagrams, and the labels of its answers.
 fn decoded(bytes: &[u8]) -> String {
-    let (reader, answers) = reader(bytes);
+    let (receiver, answers) = receiver_of(bytes);
     let mut text = String::new();
-    for m in reader.members() {
+    for member in receiver.members() {
         text += &format!(
             "{} {} {} by {}; ",
-            m.name, m.address, m.state as u8, m.reported_by
+            member.name, member.address, member.state as u8, member.reported_by
         );
     }
     for (owner, key) in [("b", 7), ("c", 200)] {
-        if let Some(entry) = reader.entry(Time(0), owner, key) {
+        if let Some(entry) = receiver.entry(Time(0), owner, key) {
             let version = entry.version;
             let version = (version.epoch, version.incarnation, version.write_count);
             text += &format!(
@@ -177,70 +193,70 @@
             );
         }
     }
-    let answers: Vec<String> = answers.iter().map(|answer| name_of(answer)).collect();
+    let answers: Vec<String> = answers.iter().map(|answer| label(answer)).collect();
     format!(
         "{text}dropped {}; answers {answers:?}",
-        reader.counters().dropped()
+        receiver.counters().dropped()
     )
 }
 
 #[test]
-fn each_kind_of_datagram_has_these_bytes() {
-    let sent = transcript();
-    let mut first: BTreeMap<String, String> = BTreeMap::new();
+fn each_kind_of_datagram_is_encoded_to_the_pinned_bytes() {
+    let sent = sent_datagrams();
+    let mut first_of_each_kind: BTreeMap<String, String> = BTreeMap::new();
     for datagram in &sent {
-        first
-            .entry(name_of(datagram))
+        first_of_each_kind
+            .entry(label(datagram))
             .or_insert_with(|| hex(datagram));
     }
     let expected: BTreeMap<String, String> = DATAGRAMS
         .iter()
-        .map(|(name, hex, _)| ((*name).to_owned(), (*hex).to_owned()))
+        .map(|(label, hex, _)| ((*label).to_owned(), (*hex).to_owned()))
         .collect();
-    assert_eq!(first, expected);
+    assert_eq!(first_of_each_kind, expected);
 }
 
 #[test]
-fn each_kind_of_datagram_decodes_to_this() {
-    for (name, hex, expected) in DATAGRAMS {
-        assert_eq!(decoded(&bytes(hex)), *expected, "{name}");
+fn each_kind_of_datagram_decodes_to_the_pinned_content() {
+    for (label, hex, expected) in DATAGRAMS {
+        assert_eq!(decoded(&parse_hex(hex)), *expected, "{label}");
     }
 }
 
 #[test]
-fn a_digest_of_what_is_not_known_is_answered_by_this_want() {
+fn a_digest_of_unknown_members_and_entries_is_answered_by_the_pinned_pull() {
     let (_, digest, _) = DATAGRAMS
         .iter()
-        .find(|(name, ..)| *name == "digest")
-        .expect("it is there");
-    let (_, answers) = reader(&bytes(digest));
-    let want = answers.first().expect("a want");
-    assert_eq!(hex(want), WANT);
-    assert_eq!(decoded(want), WANT_DECODED);
+        .find(|(label, ..)| *label == "digest")
+        .expect("a pinned digest");
+    let (_, answers) = receiver_of(&parse_hex(digest));
+    let pull = answers.first().expect("an answer");
+    assert_eq!(hex(pull), PULL);
+    assert_eq!(decoded(pull), PULL_DECODED);
 }
 
 #[test]
-fn a_leave_has_these_bytes() {
-    let leave = transcript().pop().expect("a datagram");
+fn a_leave_is_encoded_to_the_pinned_bytes_and_understood() {
+    let leave = sent_datagrams().pop().expect("a datagram");
     assert_eq!(hex(&leave), LEAVE);
     let (_, gossip, _) = DATAGRAMS
         .iter()
-        .find(|(name, ..)| *name == "gossip")
-        .expect("it is there");
-    let (mut reader, _) = reader(&bytes(gossip));
-    reader.receive(Time(0), "10.0.0.1:7", &leave, &mut Vec::new());
-    let states: Vec<(String, u8)> = reader
+        .find(|(label, ..)| *label == "gossip")
+        .expect("a pinned gossip");
+    let (mut receiver, _) = receiver_of(&parse_hex(gossip));
+    receiver.receive(Time(0), "10.0.0.1:7", &leave, &mut Vec::new());
+    let states: Vec<(String, u8)> = receiver
         .members()
         .into_iter()
-        .map(|m| (m.name, m.state as u8))
+        .map(|member| (member.name, member.state as u8))
         .collect();
     assert_eq!(states, [("a".to_owned(), 3)]);
 }
 
 #[test]
-fn all_datagrams_of_a_run_are_the_same_to_the_byte() {
-    let sent = transcript();
+fn all_datagrams_of_a_run_have_the_pinned_hash() {
+    let sent = sent_datagrams();
     let mut hasher = SipHasher24::new_with_key(&KEY);
     sent.iter().for_each(|datagram| hasher.write(datagram));
-    assert_eq!((sent.len(), hasher.finish()), RUN);
+    assert_eq!((sent.len(), hasher.finish()), RUN_SUMMARY);
 }
