--- a/crates/recovery/src/intents.rs
+++ b/crates/recovery/src/intents.rs
@@ -1,27 +1,28 @@
 //! The write-ahead ledger of paid set-ups.
 //!
-//! A paid key has one entry: its one attempt is in flight or established, or it ran. Why: a front that lost this with its power would
-//! set the same key up again, and it would be paid twice. The entry is on disk before the first byte of the attempt is sent; the
-//! outcome is written later and may be lost, since the servers' inventories show it. The price is that a paid set-up waits for the
-//! disk.
+//! Each paid key has one entry, which states that its one attempt is in flight or established, or that it ran. Without the
+//! ledger a front would set up the same key again after a power loss, and the session would be paid twice. The entry is on disk
+//! before the first byte of the attempt is sent, at the price that a paid set-up waits for the disk. The outcome is written
+//! later. It may be lost, since the inventories of servers show it.
 use crate::power_loss_policy::StateKind;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// [`Intent::retained_until`] of an entry whose attempt is active: it is never pruned.
+/// The [`Intent::retained_until`] of an entry whose attempt is active, so that it is never pruned.
 pub const RETAINED_WHILE_ACTIVE: u64 = u64::MAX;
 
-/// Whole milliseconds of a duration, the unit of stored durations; `u64::MAX` if there are more.
+/// The whole milliseconds of a duration, which is the unit of stored durations. The result saturates at `u64::MAX`.
 #[must_use]
 pub fn milliseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A paid session as billing identifies it. Names are used, since the numbers of tenants change with the configuration.
+/// Identifies a paid session for billing. It contains the tenant's name, since the numbers of tenants change with the
+/// configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Tenant; empty where no tenants are configured.
+    /// The tenant's name; empty if no tenants are configured.
     pub tenant: String,
     /// The billing identifier, which does not reveal the player's own key.
     pub bill: String,
@@ -29,16 +30,16 @@
 
 /// The outcome of a paid key.
 ///
-/// Stored data depends on the order of the variants.
+/// The order of the variants is part of the stored form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum IntentOutcome {
-    /// An attempt was sent or is about to be; it may have run.
+    /// An attempt was sent or is about to be sent. It may have run.
     InFlight,
     /// The session is established.
     Established,
     /// The session ran and has ended.
     Completed,
-    /// It may have run, and a failure was reported to its viewer.
+    /// The attempt may have run, and a failure was reported to its viewer.
     Failed,
 }
 
@@ -54,41 +55,41 @@
 
 /// The one entry of a paid key.
 ///
-/// Stored data depends on the order of the fields.
+/// The order of the fields is part of the stored form.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Intent {
-    /// Class by name.
+    /// The name of the session's class; empty if it is not known.
     pub class: String,
-    /// The server of the last attempt.
+    /// The number of the server of the last attempt.
     pub server: u32,
-    /// The attempt's name at that server.
+    /// The name of the attempt at that server.
     pub attempt_name: String,
-    /// The incarnation of that server known when the attempt was sent; empty if none was.
+    /// The server's incarnation that was known when the attempt was sent; empty if none was known.
     pub server_incarnation: String,
-    /// The outcome.
+    /// The outcome as far as it is known.
     pub outcome: IntentOutcome,
-    /// The accumulated uptime of the front, over all its incarnations, at which the entry may be pruned; in milliseconds.
-    /// Why not the wall clock: a host that boots with a clock that is a day ahead would forget what it did a minute ago.
+    /// The accumulated uptime of all incarnations of the front, in milliseconds, at which the entry may be pruned. The wall
+    /// clock is not used, because a host that boots with a clock that is a day ahead would prune entries that are a minute old.
     pub retained_until: u64,
 }
 
-/// A change of the persisted state.
+/// A write to the persisted state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum StoreWrite {
-    /// Inserts this entry, in place of any other of the key.
+    /// Inserts the entry of a key, or replaces it.
     Put(Key, Intent),
-    /// Removes the key: nothing of it ran, or its retention is over.
+    /// Removes the entry of a key, since its attempt never ran or its retention has ended.
     Remove(Key),
     /// Sets the number of fronts in the fleet.
     FleetSize(u32),
-    /// Sets the accumulated uptime of all incarnations. Whole milliseconds of it are stored.
+    /// Sets the accumulated uptime of all incarnations, which is stored in whole milliseconds.
     Uptime(Duration),
-    /// Marks this incarnation as ended by a graceful shutdown.
+    /// Records that this incarnation ends by a graceful shutdown.
     CleanShutdown,
 }
 
 impl StoreWrite {
-    /// The kind of state that is written.
+    /// The kind of state that the write persists.
     #[must_use]
     pub fn state_kind(&self) -> StateKind {
         match self {
@@ -113,22 +114,24 @@
     Ended,
 }
 
-/// The paid keys of this front. It is bounded: keys that ended are pruned, the oldest first, by age and by number.
+/// The paid keys of this front. The number of keys that ended is bounded: they are pruned by age and by number, the oldest
+/// first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct IntentLedger {
     entries: BTreeMap<Key, Intent>,
-    /// The keys of active attempts by the attempt's name.
+    /// The keys of active attempts, by the name of the attempt.
     active_attempts: BTreeMap<String, Key>,
-    /// Keys that ended, ordered by [`Intent::retained_until`].
+    /// The keys that ended, ordered by [`Intent::retained_until`].
     pruning_order: BTreeSet<(u64, Key)>,
-    /// How long an ended key is retained, in uptime of the front.
+    /// The uptime of the front for which an ended key is retained.
     retention: Duration,
+    /// The maximum number of ended keys.
     max_ended: usize,
 }
 
 impl IntentLedger {
-    /// A ledger that starts with `recovered` entries. Ended keys are retained for `retention` of uptime, and `max_ended` of
-    /// them at most.
+    /// A ledger that starts with the `recovered` entries. Ended keys are retained for `retention` of uptime, and at most
+    /// `max_ended` of them.
     pub fn new(retention: Duration, max_ended: usize, recovered: &[(Key, Intent)]) -> IntentLedger {
         let mut ledger = IntentLedger {
             retention,
@@ -153,7 +156,7 @@
         self.entries.is_empty()
     }
 
-    /// The entry of a key.
+    /// The entry of a key; `None` if the key is unknown.
     #[must_use]
     pub fn get(&self, key: &Key) -> Option<&Intent> {
         self.entries.get(key)
@@ -173,7 +176,7 @@
 
     fn remove(&mut self, key: &Key) -> Option<Intent> {
         let intent = self.entries.remove(key)?;
-        // Another key may have taken the attempt's name over; its index entry stays.
+        // The index entry stays if another key uses the same attempt name by now.
         if self.active_attempts.get(&intent.attempt_name) == Some(key) {
             self.active_attempts.remove(&intent.attempt_name);
         }
@@ -187,7 +190,7 @@
         StoreWrite::Put(key, intent)
     }
 
-    /// Records an attempt that is about to be sent. It must not be sent before the returned write is on disk.
+    /// Records an attempt that is about to be sent. The attempt must not be sent before the returned write is on disk.
     #[must_use]
     pub fn begin_attempt(
         &mut self,
@@ -208,8 +211,8 @@
         self.insert_and_persist(key, intent)
     }
 
-    /// Records the result of the attempt of this name; `uptime` is the accumulated uptime of all incarnations. Returns `None` if
-    /// the attempt is not active here, or nothing changed.
+    /// Records the result of the attempt with this name. `uptime` is the accumulated uptime of all incarnations. Returns `None`
+    /// if the ledger has no such active attempt, or nothing changed.
     pub fn attempt_ended(
         &mut self,
         attempt_name: &str,
@@ -232,7 +235,7 @@
             .is_some_and(|intent| intent.outcome == IntentOutcome::Established)
     }
 
-    /// Sets the outcome of a key. Returns `None` if the key is unknown, or nothing changed.
+    /// Sets the outcome of a key. Returns `None` if the key is unknown or already has this outcome.
     pub fn set_outcome(
         &mut self,
         key: &Key,
@@ -256,8 +259,8 @@
         Some(self.insert_and_persist(key.clone(), intent))
     }
 
-    /// Sets the outcome of a key that ran or may have run, as a server's inventory showed; the entry is created if this ledger lacks
-    /// the key. Returns `None` if nothing changed.
+    /// Sets the outcome of a key that ran or may have run according to a server's inventory. The entry is created if the ledger
+    /// does not have the key. Returns `None` if nothing changed.
     pub fn resolve(
         &mut self,
         key: &Key,
@@ -278,25 +281,25 @@
         Some(self.insert_recovered(key.clone(), intent))
     }
 
-    /// [`Intent::retained_until`] of a key that ended at this uptime.
+    /// The [`Intent::retained_until`] of a key that ended at this uptime.
     fn retained_until(&self, uptime: Duration) -> u64 {
         milliseconds(uptime).saturating_add(milliseconds(self.retention))
     }
 
-    /// Inserts a key that a server's inventory lists and this ledger lacks.
+    /// Inserts the entry of a key that a server's inventory lists, or replaces it.
     #[must_use]
     pub fn insert_recovered(&mut self, key: Key, intent: Intent) -> StoreWrite {
         self.insert_and_persist(key, intent)
     }
 
-    /// Removes a key of which nothing ran, as was proven. Returns `None` if the key is unknown.
+    /// Removes a key whose attempt is proven never to have run. Returns `None` if the key is unknown.
     pub fn remove_never_ran(&mut self, key: &Key) -> Option<StoreWrite> {
         self.remove(key)?;
         Some(StoreWrite::Remove(key.clone()))
     }
 
-    /// Removes ended keys whose retention is over or that are too many, the oldest first; `limit` of them at most, so that no call
-    /// takes long.
+    /// Removes ended keys whose retention has ended, or that exceed the maximum number, the oldest first. At most `limit` keys
+    /// are removed, so that no call takes long.
     #[must_use]
     pub fn prune(&mut self, uptime: Duration, limit: usize) -> Vec<StoreWrite> {
         let mut writes = Vec::new();
--- a/crates/recovery/src/intents/tests.rs
+++ b/crates/recovery/src/intents/tests.rs
@@ -1,14 +1,20 @@
 use super::*;
 
-fn key(n: u32) -> Key {
+fn key(number: u32) -> Key {
     Key {
         tenant: String::new(),
-        bill: format!("b{n}"),
+        bill: format!("b{number}"),
     }
 }
 
-fn begin_attempt(ledger: &mut IntentLedger, n: u32) -> StoreWrite {
-    ledger.begin_attempt(key(n), "paid".into(), 7, format!("name-{n}"), "1".into())
+fn begin_attempt(ledger: &mut IntentLedger, number: u32) -> StoreWrite {
+    ledger.begin_attempt(
+        key(number),
+        "paid".into(),
+        7,
+        format!("name-{number}"),
+        "1".into(),
+    )
 }
 
 #[test]
@@ -34,37 +40,37 @@
     assert_eq!(
         ledger.attempt_ended("name-2", AttemptResult::NeverRan, Duration::from_millis(60)),
         None,
-        "a late result does not change a failure"
+        "a late result does not change a recorded failure"
     );
 }
 
 #[test]
-fn active_attempts_are_never_pruned_and_ended_ones_by_age_and_number() {
+fn active_attempts_are_never_pruned_and_ended_ones_are_pruned_by_age_and_number() {
     let mut ledger = IntentLedger::new(Duration::from_millis(1000), 2, &[]);
-    for n in 0..6 {
-        begin_attempt(&mut ledger, n);
+    for number in 0..6 {
+        begin_attempt(&mut ledger, number);
     }
-    for n in 2..6u32 {
+    for number in 2..6u32 {
         ledger.attempt_ended(
-            &format!("name-{n}"),
+            &format!("name-{number}"),
             AttemptResult::Established,
             Duration::from_millis(0),
         );
         ledger.attempt_ended(
-            &format!("name-{n}"),
+            &format!("name-{number}"),
             AttemptResult::Ended,
-            Duration::from_millis(u64::from(n)),
+            Duration::from_millis(u64::from(number)),
         );
     }
     assert_eq!(
         ledger.prune(Duration::from_millis(5), 1),
         [StoreWrite::Remove(key(2))],
-        "one at a time"
+        "at most one is removed by this call"
     );
     assert_eq!(
         ledger.prune(Duration::from_millis(5), 100),
         [StoreWrite::Remove(key(3))],
-        "two are retained"
+        "the two newest are retained"
     );
     assert_eq!(
         ledger.prune(Duration::from_millis(1004), 100),
@@ -74,7 +80,7 @@
         ledger.prune(Duration::from_millis(u64::MAX - 1), 100),
         [StoreWrite::Remove(key(5))]
     );
-    assert_eq!(ledger.len(), 2, "two are in flight");
+    assert_eq!(ledger.len(), 2, "the two in flight are retained");
 }
 
 #[test]
@@ -95,7 +101,7 @@
 }
 
 #[test]
-fn a_ledger_continues_from_the_recovered_entries() {
+fn a_ledger_starts_with_the_recovered_entries() {
     let mut first = IntentLedger::new(Duration::from_millis(1000), 10, &[]);
     let writes = [begin_attempt(&mut first, 1), begin_attempt(&mut first, 2)];
     let recovered: Vec<(Key, Intent)> = writes
@@ -140,7 +146,7 @@
     assert_eq!(
         ledger.resolve(&key(1), IntentOutcome::Completed, uptime),
         None,
-        "nothing changed"
+        "nothing has changed"
     );
     let unknown = Intent {
         class: String::new(),
--- a/crates/recovery/src/power_loss_policy.rs
+++ b/crates/recovery/src/power_loss_policy.rs
@@ -1,16 +1,16 @@
 //! How far each kind of state can be trusted after the host lost power.
 //!
-//! The policy is enforced by types. A front starts from a [`RecoveredState`](crate::RecoveredState), whose fields are all either
-//! [`StillValid`] or [`ConservativeBound`]. Discarded state has no wrapper type and so cannot enter it.
-//! [`StoreWrite::state_kind`](crate::intents::StoreWrite::state_kind) names the kind of state behind each write to the store, and a
-//! test checks that none of it is [`PowerLossPolicy::Discarded`].
+//! The policy is enforced by types. A front starts from a [`RecoveredState`](crate::RecoveredState), whose fields are all
+//! either [`StillValid`] or [`ConservativeBound`]. There is no wrapper type for discarded state, so it can't be recovered.
+//! [`StoreWrite::state_kind`](crate::intents::StoreWrite::state_kind) names the kind of state that each write to the store
+//! persists, and a test checks that none of these kinds is [`PowerLossPolicy::Discarded`].
 
 /// How far a kind of state can be trusted after a power loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PowerLossPolicy {
-    /// It is as true as before the power loss.
+    /// It is as valid as it was before the power loss.
     StillValid,
-    /// It may be out of date; it is used only where it makes the front more cautious.
+    /// It may be out of date. It is used only if it makes the front more cautious.
     Conservative,
     /// It is meaningless after a restart and is never persisted.
     Discarded,
@@ -19,7 +19,7 @@
 /// A kind of state that a front has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StateKind {
-    /// A paid set-up that was about to be sent.
+    /// A paid set-up that has been sent or was about to be sent.
     Intent,
     /// The outcome of a paid key.
     IntentOutcome,
@@ -27,26 +27,26 @@
     Epoch,
     /// The number of fronts in the fleet.
     FleetSize,
-    /// Servers that are draining or removed.
+    /// The servers that are draining or were removed.
     Draining,
-    /// Servers with their addresses and properties.
+    /// The servers with their addresses and properties.
     EndpointList,
-    /// When a server started, and so whether it is warming up.
+    /// When a server started, which determines whether it is warming up.
     ServerStart,
-    /// Load of links and uplinks.
+    /// The load of links and uplinks.
     Load,
     /// The age of an observation.
     ObservationAge,
-    /// Admission slots at servers that warm up, backoffs, tenants' quotas, retry budgets.
+    /// Admission slots at servers that are warming up, backoffs, quotas of tenants, and retry budgets.
     AdmissionSlot,
-    /// Established sessions.
+    /// The established sessions.
     Session,
-    /// Instants of the front's monotonic clock.
+    /// Points in time of the front's monotonic clock.
     MonotonicClock,
 }
 
 impl StateKind {
-    /// All kinds, in the order of the table in docs/power.md.
+    /// All kinds of state, in the order of the table in docs/power.md.
     pub const ALL: [StateKind; 12] = [
         StateKind::Intent,
         StateKind::IntentOutcome,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The reason for the policy and how the state is used, as stated in docs/power.md.
+    /// The reason for the policy, or how the state is used. The table in docs/power.md contains the same text.
     #[must_use]
     pub const fn why(self) -> &'static str {
         match self {
@@ -117,7 +117,7 @@
     }
 }
 
-/// A value that is as true as before the power loss.
+/// A value that is as valid as it was before the power loss.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StillValid<T>(pub T);
 
@@ -126,12 +126,12 @@
 pub struct ConservativeBound<T>(T);
 
 impl<T: Ord + Copy> ConservativeBound<T> {
-    /// A bound on a quantity of which more is more cautious.
+    /// A lower bound on a quantity for which a larger value is more cautious.
     pub fn new(value: T) -> ConservativeBound<T> {
         ConservativeBound(value)
     }
 
-    /// The value to assume when `observed` was observed since: the larger of the two.
+    /// The value to assume if `observed` has been observed since the power loss: the larger of the two.
     #[must_use]
     pub fn at_least(self, observed: T) -> T {
         self.0.max(observed)
--- a/crates/recovery/src/power_loss_policy/tests.rs
+++ b/crates/recovery/src/power_loss_policy/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_page_on_power_loss_states_the_policy_of_each_kind() {
+fn the_page_on_power_loss_lists_the_policy_of_each_kind_of_state() {
     let page = include_str!("../../../../docs/power.md");
     for kind in StateKind::ALL {
         let policy = match kind.policy() {
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -1,11 +1,13 @@
-//! Reconciliation of the paid set-ups that a previous incarnation left unresolved, and of the sessions that servers still hold for it.
+//! Reconciliation of the paid set-ups that a previous incarnation left unresolved, and of the sessions that servers still hold
+//! for it.
 //!
 //! Each listed server is queried for its inventory: the sessions of this front that it holds, and the paid keys that it ran.
 //!
-//! Why one inventory does not prove that an attempt never ran: its set-up may still be on the way and run after the inventory was
-//! taken. So an attempt that the inventory lacks is fenced, that is, ended by its name (a server rejects a set-up that arrives after
-//! its end), and the inventory is requested once more. If it lacks the attempt again, the attempt never ran. An inventory that does
-//! not cover the server's incarnation to which the attempt was sent proves nothing, and the key counts as run.
+//! A single inventory does not prove that an attempt never ran, because its set-up may still be in transit and run after the
+//! inventory was taken. So an attempt that is missing in the inventory is fenced: the front ends it by its name, and the server
+//! rejects its set-up if that arrives later. Then the inventory is requested once more. If the attempt is missing again, it
+//! never ran. An inventory that does not cover the server's incarnation to which the attempt was sent proves nothing, and the
+//! key counts as run.
 mod inventory;
 mod outcome;
 
@@ -18,23 +20,25 @@
 /// The state of the reconciliation with one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum ServerState {
-    /// An inventory or a fence is requested.
+    /// Its inventory was requested, or attempts are being fenced there.
     Pending,
-    /// Its inventory resolved all that it could.
+    /// Its last inventory left nothing to be requested.
     Reconciled,
+    /// It was unreachable or did not answer.
     Unreachable,
 }
 
-/// An attempt of a previous incarnation whose outcome is not resolved.
+/// An attempt of a previous incarnation whose outcome is not resolved yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct UnresolvedAttempt {
     key: Key,
     server: u32,
-    /// The server's incarnation known when the attempt was sent; empty if none was.
+    /// The server's incarnation that was known when the attempt was sent; empty if none was known.
     server_incarnation: String,
     was_established: bool,
+    /// The server confirmed that the attempt can't run any more.
     fenced: bool,
-    /// A failure was reported to the viewer; an inventory may still resolve the attempt.
+    /// The wait for inventories ended and a failure was reported to the viewer. An inventory may still resolve the attempt.
     timed_out: bool,
 }
 
@@ -50,7 +54,7 @@
         }
     }
 
-    /// What an inventory proves that does not hold the attempt; `None`: nothing before the attempt is fenced.
+    /// What an inventory proves that does not list the attempt; `None` if it proves nothing before the attempt is fenced.
     fn resolve_absent(
         &self,
         inventory: &SessionInventory,
@@ -71,18 +75,18 @@
     }
 }
 
-/// Resolves what previous incarnations left unresolved.
+/// The state of the reconciliation with all servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Reconciliation {
-    /// By the attempt's name.
+    /// The attempts that no inventory has resolved, by name.
     unresolved: BTreeMap<String, UnresolvedAttempt>,
     servers: BTreeMap<u32, ServerState>,
-    /// Names of the attempts whose fence is not confirmed yet, by server.
+    /// The names of the attempts whose fence is not confirmed yet, by server.
     pending_fences: BTreeMap<u32, BTreeSet<String>>,
 }
 
 impl Reconciliation {
-    /// A reconciliation of the active ones among the recovered intents.
+    /// Starts a reconciliation of those recovered intents whose attempt is active.
     pub fn new(recovered: &[(Key, Intent)]) -> Reconciliation {
         let unresolved = recovered
             .iter()
@@ -105,7 +109,7 @@
         self.unresolved.len()
     }
 
-    /// The listed servers by the state of their reconciliation.
+    /// The number of listed servers in each state of their reconciliation.
     #[must_use]
     pub fn server_counts(&self) -> ServerCounts {
         let count = |wanted| {
@@ -145,20 +149,20 @@
         steps
     }
 
-    /// A server is unreachable or did not answer.
+    /// Records that a server is unreachable or did not answer. Its unconfirmed fences are dropped.
     pub fn server_unreachable(&mut self, server: u32) {
         self.pending_fences.remove(&server);
         self.replace_state(server, ServerState::Pending, ServerState::Unreachable);
     }
 
-    /// A server may be reachable again. Returns the inventory request if it was unreachable.
+    /// Records that a server may be reachable again. Returns the inventory request if it was unreachable before.
     #[must_use]
     pub fn server_reachable(&mut self, server: u32) -> Option<ReconciliationStep> {
         self.replace_state(server, ServerState::Unreachable, ServerState::Pending)
             .then_some(ReconciliationStep::RequestInventory(server))
     }
 
-    /// Changes a server's state if it is `from`; whether it was.
+    /// Changes the state of a server from `from` to `to`. Returns false if it is in another state.
     fn replace_state(&mut self, server: u32, from: ServerState, to: ServerState) -> bool {
         match self.servers.get_mut(&server) {
             Some(state) if *state == from => {
@@ -169,7 +173,8 @@
         }
     }
 
-    /// Ends the wait: what is unresolved counts as run from now on. Returns the keys for which this is new.
+    /// Ends the wait for inventories: unresolved attempts count as run from now on. Returns the keys that did not count as run
+    /// before.
     #[must_use]
     pub fn time_out(&mut self) -> Vec<Key> {
         let mut timed_out = Vec::new();
@@ -183,8 +188,8 @@
         timed_out
     }
 
-    /// A server confirmed that an attempt can't run any more. Returns the next inventory request, or `None` while more fences are
-    /// pending there.
+    /// Records that a server confirmed a fence, so that the attempt can't run any more. Returns the next inventory request, or
+    /// `None` while other fences at that server are not confirmed.
     pub fn fence_confirmed(
         &mut self,
         server: u32,
@@ -202,8 +207,8 @@
         Some(ReconciliationStep::RequestInventory(server))
     }
 
-    /// Applies a server's inventory. `is_own` states whether an attempt's name was given by the present incarnation; such sessions
-    /// are not reconciled.
+    /// Applies a server's inventory. `is_own` returns whether the present incarnation chose the name of an attempt. Such
+    /// attempts are not reconciled.
     pub fn receive_inventory(
         &mut self,
         server: u32,
@@ -222,7 +227,7 @@
         outcome
     }
 
-    /// Adopts each listed session of a previous incarnation, or tears it down if its viewer was given a failure.
+    /// Adopts each listed session of a previous incarnation, or tears it down if a failure was reported to its viewer.
     fn resolve_listed_sessions(
         &mut self,
         server: u32,
@@ -253,10 +258,10 @@
         }
     }
 
-    /// Fences set-ups in progress that no intent is known of.
+    /// Fences the set-ups in progress for which there is no intent.
     ///
-    /// Why: a lost disk does not know of a set-up in progress. It would run after this inventory, and its key would be sold again.
-    /// Once it is fenced it has ended, or the next inventory shows that it ran.
+    /// The intent may have been lost with the disk. The set-up would run after this inventory was taken, and its key would be
+    /// sold again. Once it is fenced, either it has ended or the next inventory shows that it ran.
     fn fence_unknown_attempts(
         &mut self,
         server: u32,
@@ -271,7 +276,7 @@
         }
     }
 
-    /// Resolves, or fences, the unresolved attempts at this server that its inventory does not list.
+    /// Resolves or fences the unresolved attempts at this server that its inventory does not list.
     fn resolve_absent_attempts(
         &mut self,
         server: u32,
@@ -297,9 +302,10 @@
         }
     }
 
-    /// Reports the completed keys that are neither resolved above nor unresolved at another server.
+    /// Reports the completed keys that this inventory has not resolved and that are not unresolved at another server.
     ///
-    /// Why: the disk may have lost its last writes, or all. What a server ran is not set up again, whatever was persisted.
+    /// The disk may have lost its last writes, or all of them. A key that a server ran is not set up again, whatever was
+    /// persisted.
     fn report_completed_keys(
         &self,
         inventory: &SessionInventory,
--- a/crates/recovery/src/reconciliation/inventory.rs
+++ b/crates/recovery/src/reconciliation/inventory.rs
@@ -8,23 +8,23 @@
     pub name: String,
     /// The tenant and the billing identifier.
     pub key: Key,
-    /// Class by name.
+    /// The name of its class.
     pub class: String,
-    /// Title by name.
+    /// The name of its title.
     pub title: String,
-    /// The rung in force.
+    /// The rung that is in force for the session.
     pub rung: u8,
 }
 
 /// The sessions of one front at one server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct SessionInventory {
-    /// Incarnations of the server that the inventory covers without a gap, the present one last.
+    /// The incarnations of the server that the inventory covers without a gap, the present one last.
     pub incarnations: Vec<String>,
-    /// Sessions that the server holds.
+    /// The sessions that the server holds.
     pub sessions: Vec<InventorySession>,
-    /// Names of set-ups in progress.
+    /// The names of the attempts whose set-up is in progress.
     pub in_progress: Vec<String>,
-    /// Paid keys that ran in those incarnations, whether still held or not.
+    /// The paid keys that ran in those incarnations, whether their sessions are still held or not.
     pub completed: Vec<Key>,
 }
--- a/crates/recovery/src/reconciliation/outcome.rs
+++ b/crates/recovery/src/reconciliation/outcome.rs
@@ -1,4 +1,4 @@
-//! What reconciliation decides, and what it requests from servers.
+//! The decisions of reconciliation, and its requests to servers.
 use super::InventorySession;
 use crate::intents::Key;
 
@@ -9,7 +9,7 @@
     Adopt {
         /// The server that holds it.
         server: u32,
-        /// The session.
+        /// The session as the inventory lists it.
         session: InventorySession,
     },
     /// The session is established at the server, but a failure was already reported to its viewer: it is torn down.
@@ -21,7 +21,7 @@
     },
     /// The key's session ran and has ended.
     Completed(Key),
-    /// The key's session may have run, and it can no longer be proven that it did not.
+    /// The key's session may have run, and it can't be proven any more that it did not.
     Unprovable(Key),
     /// The key's session never ran and never will.
     NeverRan(Key),
@@ -30,13 +30,13 @@
 /// A request to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReconciliationStep {
-    /// Request the server's inventory.
+    /// Request the inventory of this server.
     RequestInventory(u32),
     /// Fence the attempt: end it by its name, so that it cannot run any more. Then request the inventory again.
     Fence {
-        /// The server.
+        /// The server to which the attempt was sent.
         server: u32,
-        /// The attempt's name there.
+        /// The name of the attempt there.
         attempt_name: String,
     },
 }
@@ -44,19 +44,19 @@
 /// The result of an inventory, in the order in which it is to be applied: resolutions first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InventoryOutcome {
-    /// What the inventory proves.
+    /// What the inventory proves about keys and sessions.
     pub resolutions: Vec<Resolution>,
-    /// What is to be requested next; if empty, the server is reconciled.
+    /// What to request next; if empty, the server is reconciled.
     pub steps: Vec<ReconciliationStep>,
 }
 
-/// Listed servers by the state of their reconciliation.
+/// The number of listed servers in each state of their reconciliation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// Servers whose inventory resolved all that it could.
+    /// Servers whose last inventory left nothing to be requested.
     pub reconciled: usize,
-    /// Servers that are unreachable.
+    /// Servers that are unreachable or did not answer.
     pub unreachable: usize,
-    /// Servers whose answer is awaited.
+    /// Servers whose inventory or confirmation of a fence is awaited.
     pub pending: usize,
 }
--- a/crates/recovery/src/reconciliation/tests.rs
+++ b/crates/recovery/src/reconciliation/tests.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-fn key(n: u32) -> Key {
+fn key(number: u32) -> Key {
     Key {
         tenant: String::new(),
-        bill: format!("b{n}"),
+        bill: format!("b{number}"),
     }
 }
 
-fn recovered(n: u32, server: u32, outcome: IntentOutcome) -> (Key, Intent) {
+/// An intent that a previous incarnation left, whose attempt is named after the number of its key.
+fn recovered_intent(number: u32, server: u32, outcome: IntentOutcome) -> (Key, Intent) {
     (
-        key(n),
+        key(number),
         Intent {
             class: "paid".to_owned(),
             server,
-            attempt_name: format!("n{n}"),
+            attempt_name: format!("n{number}"),
             server_incarnation: "4".to_owned(),
             outcome,
             retained_until: u64::MAX,
@@ -21,16 +22,17 @@
     )
 }
 
+/// An inventory that lists the sessions and the completed keys with these numbers.
 fn inventory(incarnations: &[&str], held: &[u32], completed: &[u32]) -> SessionInventory {
-    let sessions = held.iter().map(|n| InventorySession {
-        name: format!("n{n}"),
-        key: key(*n),
+    let sessions = held.iter().map(|number| InventorySession {
+        name: format!("n{number}"),
+        key: key(*number),
         ..InventorySession::default()
     });
     SessionInventory {
         incarnations: incarnations.iter().map(|name| (*name).to_owned()).collect(),
         sessions: sessions.collect(),
-        completed: completed.iter().map(|n| key(*n)).collect(),
+        completed: completed.iter().map(|number| key(*number)).collect(),
         in_progress: Vec::new(),
     }
 }
@@ -46,13 +48,15 @@
     }
 }
 
+/// No attempt was named by the present incarnation.
 fn not_own(_: &str) -> bool {
     false
 }
 
 #[test]
 fn never_ran_is_proven_only_by_a_fence_and_a_second_inventory() {
-    let mut reconciliation = Reconciliation::new(&[recovered(1, 7, IntentOutcome::InFlight)]);
+    let mut reconciliation =
+        Reconciliation::new(&[recovered_intent(1, 7, IntentOutcome::InFlight)]);
     assert_eq!(
         reconciliation.update_servers([7]),
         [ReconciliationStep::RequestInventory(7)]
@@ -78,7 +82,8 @@
 
 #[test]
 fn an_attempt_that_ran_between_the_two_inventories_counts_as_run() {
-    let mut reconciliation = Reconciliation::new(&[recovered(1, 7, IntentOutcome::InFlight)]);
+    let mut reconciliation =
+        Reconciliation::new(&[recovered_intent(1, 7, IntentOutcome::InFlight)]);
     reconciliation.update_servers([7]);
     reconciliation.receive_inventory(7, &inventory(&["4"], &[], &[]), not_own);
     reconciliation.fence_confirmed(7, "n1");
@@ -93,7 +98,8 @@
 #[test]
 fn an_inventory_that_does_not_cover_the_incarnation_proves_nothing() {
     for incarnations in [&["5"][..], &[]] {
-        let mut reconciliation = Reconciliation::new(&[recovered(1, 7, IntentOutcome::InFlight)]);
+        let mut reconciliation =
+            Reconciliation::new(&[recovered_intent(1, 7, IntentOutcome::InFlight)]);
         reconciliation.update_servers([7]);
         assert_eq!(
             reconciliation
@@ -102,7 +108,8 @@
             [Resolution::Unprovable(key(1))]
         );
     }
-    let mut reconciliation = Reconciliation::new(&[recovered(1, 7, IntentOutcome::InFlight)]);
+    let mut reconciliation =
+        Reconciliation::new(&[recovered_intent(1, 7, IntentOutcome::InFlight)]);
     assert!(
         matches!(
             reconciliation
@@ -110,16 +117,16 @@
                 .steps[..],
             [ReconciliationStep::Fence { .. }]
         ),
-        "it covers both incarnations"
+        "the inventory covers the incarnation, so the attempt is fenced"
     );
 }
 
 #[test]
 fn held_sessions_are_adopted_and_ended_ones_are_completed() {
     let mut reconciliation = Reconciliation::new(&[
-        recovered(1, 7, IntentOutcome::InFlight),
-        recovered(2, 7, IntentOutcome::Established),
-        recovered(3, 8, IntentOutcome::Established),
+        recovered_intent(1, 7, IntentOutcome::InFlight),
+        recovered_intent(2, 7, IntentOutcome::Established),
+        recovered_intent(3, 8, IntentOutcome::Established),
     ]);
     reconciliation.update_servers([7, 8]);
     let resolutions = reconciliation
@@ -137,7 +144,7 @@
     assert_eq!(
         reconciliation.unresolved_count(),
         1,
-        "the one at the other server"
+        "the attempt at the other server"
     );
 }
 
@@ -153,7 +160,7 @@
 }
 
 #[test]
-fn completed_keys_of_servers_replace_a_lost_disk() {
+fn completed_keys_of_servers_are_reported_after_the_disk_was_lost() {
     let mut reconciliation = Reconciliation::new(&[]);
     reconciliation.update_servers([7]);
     assert_eq!(
@@ -165,7 +172,7 @@
 }
 
 #[test]
-fn an_unknown_set_up_in_progress_is_fenced_before_anything_is_served() {
+fn an_unknown_set_up_in_progress_is_fenced_before_reconciliation_is_complete() {
     let mut reconciliation = Reconciliation::new(&[]);
     reconciliation.update_servers([7]);
     let with_set_up = SessionInventory {
@@ -186,14 +193,15 @@
             .receive_inventory(7, &inventory(&["4"], &[], &[5]), not_own)
             .resolutions,
         [Resolution::Completed(key(5))],
-        "it ran before it was fenced"
+        "the set-up ran before it was fenced"
     );
     assert!(reconciliation.is_complete());
 }
 
 #[test]
-fn an_unreachable_server_does_not_block_and_is_queried_when_reachable() {
-    let mut reconciliation = Reconciliation::new(&[recovered(1, 7, IntentOutcome::InFlight)]);
+fn an_unreachable_server_does_not_block_and_is_queried_once_reachable() {
+    let mut reconciliation =
+        Reconciliation::new(&[recovered_intent(1, 7, IntentOutcome::InFlight)]);
     reconciliation.update_servers([7, 8]);
     reconciliation.receive_inventory(8, &inventory(&["1"], &[], &[]), not_own);
     assert!(!reconciliation.is_complete());
@@ -217,7 +225,7 @@
         ),
         (Some(ReconciliationStep::RequestInventory(7)), None, None)
     );
-    // A failure was reported to its viewer, so no viewer will reattach.
+    // A failure was reported to its viewer, so no viewer will attach to the session.
     assert_eq!(
         reconciliation
             .receive_inventory(7, &inventory(&["4"], &[1], &[1]), not_own)
@@ -232,7 +240,8 @@
 #[test]
 fn a_completed_key_at_one_server_does_not_resolve_an_attempt_at_another() {
     // Server 8 ran the key earlier and rejected the first attempt; the second one is unresolved at server 7.
-    let mut reconciliation = Reconciliation::new(&[recovered(1, 7, IntentOutcome::InFlight)]);
+    let mut reconciliation =
+        Reconciliation::new(&[recovered_intent(1, 7, IntentOutcome::InFlight)]);
     reconciliation.update_servers([7, 8]);
     assert_eq!(
         reconciliation
--- a/crates/recovery/src/recovered_state.rs
+++ b/crates/recovery/src/recovered_state.rs
@@ -8,11 +8,11 @@
 pub enum PreviousShutdown {
     /// There is no state of a previous incarnation: this is the first one, or its disk was lost.
     Unknown,
-    /// By a graceful shutdown; nothing was left unresolved.
+    /// It ended by a graceful shutdown and left nothing unresolved.
     Clean,
-    /// The process ended without a shutdown, and its host kept running.
+    /// The process ended without a graceful shutdown, and its host has not been booted since.
     Killed,
-    /// The host was booted since.
+    /// The process ended without a graceful shutdown, and its host has been booted since.
     PowerLost,
 }
 
@@ -21,12 +21,12 @@
 pub struct RecoveredState {
     /// The number of starts of this front, including this one.
     pub epoch: StillValid<u64>,
-    /// Paid keys of previous incarnations.
+    /// The paid keys of previous incarnations, with the last persisted outcome of each.
     pub intents: StillValid<Vec<(Key, Intent)>>,
-    /// The largest fleet size known, in fronts.
+    /// The largest fleet size known, in fronts; zero if none was persisted.
     pub fleet_size: ConservativeBound<u32>,
     /// How the previous incarnation ended.
     pub shutdown: PreviousShutdown,
-    /// The accumulated uptime of all incarnations, as far as it was persisted.
+    /// The accumulated uptime of all incarnations, as it was last persisted.
     pub uptime: StillValid<Duration>,
 }
--- a/crates/recovery/src/stages.rs
+++ b/crates/recovery/src/stages.rs
@@ -1,14 +1,14 @@
 //! The staged return of service after a start.
 //!
-//! The stages are offline, reading, reconciling, paid classes only, all classes, normal. Each transition has its evidence and a time
-//! limit.
+//! The stages are offline, reading, reconciling, paid classes only, all classes, normal. Each transition has its evidence and a
+//! time limit.
 //!
-//! Why: after a power loss all viewers return at once, to servers that are all warming up and to a front that does not know yet which
-//! paid set-ups it had begun. Until these are reconciled requests are queued; then paid classes are served alone while servers warm
-//! up, and other requests get a retry time, spread over the warm-up. The price is that a free session waits longer than capacity
-//! alone would require.
+//! After a power loss all viewers return at once, to servers that are all warming up and to a front that does not know yet
+//! which paid set-ups it had begun. Requests are queued until these set-ups are reconciled. Then only paid classes are served
+//! while servers warm up, and other requests are asked to retry at times that are spread over the warm-up. The price is that a
+//! free session waits longer than the available capacity would require.
 //!
-//! After a graceful shutdown none of this is needed, and a front is normal at once.
+//! After a graceful shutdown none of this is needed, and the front is in the normal stage at once.
 use crate::recovered_state::PreviousShutdown;
 use crankpaddle_time::Time;
 use std::time::Duration;
@@ -16,28 +16,28 @@
 /// How far service has returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryStage {
-    /// Nothing is known.
+    /// The process has started and nothing is known, since the persisted state can't be read yet.
     Offline,
     /// The persisted state is being read.
     Reading,
     /// Servers are queried for the outcome of unresolved set-ups.
     Reconciling,
-    /// Paid classes are served.
+    /// Only paid classes are served.
     PaidOnly,
     /// All classes are served; the fleet may still be warming up and smaller than before.
     AllClasses,
-    /// Recovery has ended.
+    /// Recovery has ended, and all classes are served without restriction.
     Normal,
 }
 
 /// Time limits of the stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageTimeouts {
-    /// How long listed servers have to answer the reconciliation.
+    /// How long servers have to answer the reconciliation once they are listed.
     pub reconciliation_timeout: Duration,
-    /// Paid classes are served alone until none of their requests was rejected for this long ...
+    /// Only paid classes are served until none of their requests has been rejected for this long.
     pub paid_quiet_period: Duration,
-    /// ... but no longer than this.
+    /// The maximum time for which only paid classes are served.
     pub paid_only_timeout: Duration,
     /// How long a server takes to warm up.
     pub warm_up_duration: Duration,
@@ -52,26 +52,26 @@
     CleanShutdown,
     /// The disk can be read.
     DiskAvailable,
-    /// The persisted state is read.
+    /// The persisted state has been read.
     StateRead,
     /// Each server sent its inventory or is unreachable.
     InventoriesReceived,
-    /// No paid request was rejected for a while.
+    /// No paid request was rejected for [`StageTimeouts::paid_quiet_period`].
     PaidDemandServed,
-    /// Servers had time to warm up.
+    /// All classes were served for [`StageTimeouts::warm_up_duration`], so servers had time to warm up.
     WarmedUp,
-    /// The time limit of the previous stage passed.
+    /// The time limit of the previous stage was reached.
     TimedOut,
 }
 
-/// An entered stage.
+/// A transition to a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageTransition {
-    /// When it was entered.
+    /// When the stage was entered.
     pub at: Time,
-    /// The stage.
+    /// The stage that was entered.
     pub stage: RecoveryStage,
-    /// Why it was entered.
+    /// Why the stage was entered.
     pub evidence: StageEvidence,
 }
 
@@ -80,18 +80,18 @@
 pub enum RecoveryAdmission {
     /// Serve it.
     Serve,
-    /// Queue it: the decision will be possible soon.
+    /// Queue it, since it can be decided soon.
     Queue,
-    /// Reject it; it may be retried later.
+    /// Reject it, and ask the viewer to retry later.
     RetryLater {
-        /// The time until the first retry.
+        /// The time before the earliest retry.
         after: Duration,
-        /// The time over which retries are spread after that.
+        /// The duration over which retries are spread after that.
         over: Duration,
     },
 }
 
-/// The staged return of service after a start. All times are points on the caller's clock.
+/// The staged return of service after a start. All points in time that are passed to it must come from one clock.
 #[derive(Clone, Debug)]
 pub struct StagedRecovery {
     timeouts: StageTimeouts,
@@ -99,14 +99,14 @@
     stage_entered_at: Time,
     /// When servers were first listed.
     endpoints_known_at: Option<Time>,
-    /// The latest time at which a rejected paid request may be retried.
+    /// The latest time at which a retry of a rejected paid request is expected.
     paid_retry_expected_at: Option<Time>,
     reconciliation_completed: bool,
     transitions: Vec<StageTransition>,
 }
 
 impl StagedRecovery {
-    /// A front that starts at `now`.
+    /// The recovery of a front that starts at `now`.
     pub fn new(timeouts: StageTimeouts, now: Time) -> StagedRecovery {
         let started = StageTransition {
             at: now,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A front without a store: there is no state to recover, and it is normal at once.
+    /// The recovery of a front without a store. There is no state to recover, so it is in the normal stage at once.
     pub fn not_needed(now: Time) -> StagedRecovery {
         let timeouts = StageTimeouts {
             reconciliation_timeout: Duration::ZERO,
@@ -143,13 +143,13 @@
         self.stage
     }
 
-    /// The stages entered so far, in order.
+    /// The transitions made so far, in order; the first one is to [`RecoveryStage::Offline`].
     #[must_use]
     pub fn transitions(&self) -> &[StageTransition] {
         &self.transitions
     }
 
-    /// Enters a later stage; an earlier one or the present one is ignored.
+    /// Enters a stage if it is later than the present one.
     fn enter(&mut self, now: Time, stage: RecoveryStage, evidence: StageEvidence) {
         if stage <= self.stage {
             return;
@@ -163,12 +163,12 @@
         });
     }
 
-    /// Reading the persisted state begins.
+    /// Records that reading the persisted state begins.
     pub fn start_reading(&mut self, now: Time) {
         self.enter(now, RecoveryStage::Reading, StageEvidence::DiskAvailable);
     }
 
-    /// The persisted state is read; the previous incarnation ended by `previous_shutdown`.
+    /// Records that the persisted state was read. `previous_shutdown` is how the previous incarnation ended.
     pub fn state_read(&mut self, now: Time, previous_shutdown: PreviousShutdown) {
         match previous_shutdown {
             PreviousShutdown::Clean => {
@@ -180,29 +180,30 @@
         }
     }
 
-    /// Servers are listed, so that they can be queried.
+    /// Records that servers are listed, so that they can be queried.
     pub fn endpoints_known(&mut self, now: Time) {
         self.endpoints_known_at.get_or_insert(now);
         self.expire(now);
     }
 
-    /// Each listed server sent its inventory or is unreachable.
+    /// Records that each listed server sent its inventory or is unreachable.
     pub fn reconciliation_completed(&mut self, now: Time) {
         self.reconciliation_completed = true;
         self.expire(now);
     }
 
-    /// A paid request was rejected for lack of capacity, and its viewer was asked to retry after `retry_after`.
+    /// Records that a paid request was rejected for lack of capacity, and that its viewer was asked to retry after
+    /// `retry_after`.
     ///
-    /// Why the quiet period starts at the latest expected retry: a viewer who waits for a retry sends nothing meanwhile. A quiet
-    /// period that counted requests alone would end while such viewers wait, and free sessions would then take the admission slots at
-    /// warming servers that the paid ones need.
+    /// The quiet period starts at the latest expected retry, because a viewer that waits for its retry sends no requests. If
+    /// the quiet period started at the last rejection, it would end while such viewers wait, and free sessions would take the
+    /// admission slots at servers that are warming up, which the paid ones need.
     pub fn paid_rejected(&mut self, now: Time, retry_after: Duration) {
         let retry_expected_at = now + retry_after;
         self.paid_retry_expected_at = self.paid_retry_expected_at.max(Some(retry_expected_at));
     }
 
-    /// When [`StagedRecovery::expire`] is to be called next; `None`: never.
+    /// When [`StagedRecovery::expire`] must be called next; `None` if the present stage does not end by time.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Time> {
         match self.stage {
@@ -219,7 +220,7 @@
         endpoints_known_at + self.timeouts.reconciliation_timeout
     }
 
-    /// When no paid request was rejected for the quiet period.
+    /// The time at which the quiet period ends unless another paid request is rejected.
     fn paid_quiet_at(&self) -> Time {
         let last_retry_expected_at = self.paid_retry_expected_at.unwrap_or(Time::ZERO);
         last_retry_expected_at.max(self.stage_entered_at) + self.timeouts.paid_quiet_period
@@ -233,7 +234,7 @@
         self.stage_entered_at + self.timeouts.warm_up_duration
     }
 
-    /// Makes the transitions that are due. Several may be due at once.
+    /// Makes the transitions that are due at `now`. Several may be due at once.
     pub fn expire(&mut self, now: Time) {
         self.finish_reconciling(now);
         self.finish_paid_only(now);
@@ -277,7 +278,8 @@
         }
     }
 
-    /// What to do with a request. While no server is known there is nothing to wait for, and it is asked to retry later.
+    /// What to do with a request. If no server is listed within the reconciliation timeout, requests are not queued any longer,
+    /// but are asked to retry later.
     #[must_use]
     pub fn admit(&self, now: Time, paid: bool) -> RecoveryAdmission {
         match self.stage {
--- a/crates/recovery/src/stages/tests.rs
+++ b/crates/recovery/src/stages/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn all_requests_queue_until_reconciled_and_then_paid_ones_are_served_first() {
+fn all_requests_are_queued_until_reconciled_and_then_only_paid_ones_are_served() {
     let mut recovery = recovery_in(RecoveryStage::Reconciling);
     assert_eq!(
         (
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn each_stage_times_out_without_evidence() {
+fn reconciling_and_paid_only_time_out_without_evidence() {
     let mut recovery = recovery_in(RecoveryStage::Reconciling);
     recovery.endpoints_known(Time(50));
     assert_eq!(recovery.next_expiry(), Some(Time(150)));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn without_an_endpoint_list_requests_queue_only_for_the_reconciliation_timeout() {
+fn without_an_endpoint_list_requests_are_queued_only_for_the_reconciliation_timeout() {
     let recovery = recovery_in(RecoveryStage::Reconciling);
     assert_eq!(recovery.admit(Time(101), true), RecoveryAdmission::Queue);
     assert!(matches!(
@@ -137,7 +137,7 @@
 }
 
 proptest! {
-    /// Stages are entered in order of time and never left backwards, and with an endpoint list service becomes normal.
+    /// Whatever happens, no earlier stage is entered again, and once servers are listed the normal stage is reached.
     #[test]
     fn stages_only_advance_and_end_in_normal(events in proptest::collection::vec((0u8..5, 0u64..60), 0..80)) {
         let mut recovery = recovery_in(RecoveryStage::Reconciling);
--- a/crates/recovery/tests/crash/front.rs
+++ b/crates/recovery/tests/crash/front.rs
@@ -1,4 +1,4 @@
-//! The front in the model: the ledger and the reconciliation are the product's own code, the rest is a model of the daemon.
+//! The front in the model. The ledger and the reconciliation are the real code, and the rest is a model of the daemon.
 use crankpaddle_recovery::{
     Intent, IntentLedger, IntentOutcome, Key, Reconciliation, ReconciliationStep, Resolution,
     SessionInventory, StoreWrite,
@@ -6,32 +6,32 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The one server.
+/// The number of the only server.
 pub(crate) const SERVER: u32 = 7;
-/// The server's one incarnation.
+/// The only incarnation of the server.
 pub(crate) const SERVER_INCARNATION: &str = "1";
 const RETENTION: Duration = Duration::from_millis(1000);
 const MAX_ENDED_KEYS: usize = 10;
 
-/// A guard of the front against selling twice.
+/// A guard of the front against selling a session twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Guard {
-    /// A set-up is sent once its intent is on disk.
+    /// A set-up is not sent before its intent is on disk.
     PersistBeforeSend,
-    /// Nobody is served before reconciliation is complete.
+    /// No request is served before reconciliation is complete.
     ReconcileBeforeServe,
-    /// An attempt that an inventory lacks is fenced, and the inventory is requested once more.
+    /// An attempt that is missing in an inventory is fenced, and the inventory is requested once more.
     Fence,
-    /// A key that a server completed counts though the ledger lacks it.
+    /// A key that a server completed counts as run even if the ledger does not have it.
     CompletedKeysOfServers,
 }
 
-/// Which guards the front has, and what the disk may do.
+/// The configuration of the model: which guards the front has, and whether the disk may be lost.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Guards {
-    /// The guard that is missing.
+    /// The guard that the front does not have.
     pub(crate) removed: Option<Guard>,
-    /// Whether the disk may be found empty.
+    /// Whether the disk may be found empty after a power loss.
     pub(crate) disk_may_be_lost: bool,
 }
 
@@ -46,16 +46,16 @@
 pub(crate) struct Front {
     pub(crate) ledger: IntentLedger,
     pub(crate) reconciliation: Reconciliation,
-    /// The name of the attempt that waits for the disk.
+    /// The name of the attempt that waits until its intent is on disk.
     pub(crate) waiting_for_sync: Option<String>,
-    /// Names of the attempts that this incarnation began.
+    /// The names of the attempts that this incarnation began.
     pub(crate) own_attempts: BTreeSet<String>,
     pub(crate) inventory_requested: bool,
-    /// The server's inventory on its way back.
+    /// The server's inventory while it is in transit to the front.
     pub(crate) inventory_response: Option<SessionInventory>,
-    /// Names of the attempts whose fence is on its way to the server.
+    /// The names of the attempts whose fence is in transit to the server.
     pub(crate) fence_requests: BTreeSet<String>,
-    /// Names of the attempts whose fence is confirmed and on its way back.
+    /// The names of the attempts whose confirmation of the fence is in transit to the front.
     pub(crate) fence_responses: BTreeSet<String>,
     pub(crate) is_serving: bool,
 }
@@ -64,7 +64,7 @@
     pub(crate) fn start(recovered: &[(Key, Intent)], guards: Guards) -> Front {
         let mut ledger = IntentLedger::new(RETENTION, MAX_ENDED_KEYS, recovered);
         if !guards.has(Guard::ReconcileBeforeServe) {
-            // What is in flight is taken for never begun.
+            // Without this guard the front assumes that attempts in flight never ran.
             for (key, intent) in recovered {
                 if intent.outcome == IntentOutcome::InFlight {
                     ledger.remove_never_ran(key);
@@ -99,7 +99,7 @@
                 ReconciliationStep::Fence { attempt_name, .. } if guards.has(Guard::Fence) => {
                     self.fence_requests.insert(attempt_name);
                 }
-                // Reported as fenced, and it is not.
+                // Without this guard the fence is confirmed although the server was not asked for it.
                 ReconciliationStep::Fence { attempt_name, .. } => {
                     self.fence_responses.insert(attempt_name);
                 }
@@ -108,7 +108,7 @@
         self.is_serving |= self.reconciliation.is_complete();
     }
 
-    /// Applies a resolution to the ledger; the write that persists it.
+    /// Applies a resolution to the ledger. Returns the write that persists it.
     pub(crate) fn apply_resolution(
         &mut self,
         resolution: Resolution,
@@ -141,7 +141,7 @@
     }
 }
 
-/// The one paid key.
+/// The only paid key.
 pub(crate) fn key() -> Key {
     Key {
         tenant: "t".into(),
--- a/crates/recovery/tests/crash/main.rs
+++ b/crates/recovery/tests/crash/main.rs
@@ -1,6 +1,7 @@
-//! Model check of power losses: the power is lost at any moment of a paid set-up and of its recovery, up to three times, with every
-//! order of what a disk, a network and a server may do. The ledger and the reconciliation are the front's own code; the rest is a
-//! model. Each guard is removed in turn, and the check must then find a session that is sold twice.
+//! Model checking of power losses. The power is lost at any moment of a paid set-up and of its recovery, up to three times,
+//! with all orders of the events of disk, network and server. The ledger and the reconciliation are the real code, and the rest
+//! is modelled. No session may be sold twice. To show that the check detects such a fault, each guard is removed in turn, and
+//! the check must then find a session that is sold twice.
 mod front;
 mod model;
 
@@ -8,12 +9,12 @@
 use model::{Action, PowerLossModel, SOLD_ONCE};
 use stateright::{Checker, Model};
 
-/// The power losses of the full check: fewer in a debug build, which is slow.
+/// The number of power losses of the full check. A debug build checks fewer, because it is slow.
 const MAX_POWER_LOSSES: u8 = if cfg!(debug_assertions) { 2 } else { 3 };
 
 struct CheckResult {
     unique_states: usize,
-    /// The actions that lead to a session sold twice, if any do.
+    /// The actions that lead to a session that is sold twice; `None` if there are none.
     counterexample: Option<Vec<Action>>,
 }
 
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn power_losses_at_any_moment_sell_nothing_twice() {
+fn no_session_is_sold_twice_after_power_losses_at_any_moment() {
     for disk_may_be_lost in [false, true] {
         let guards = Guards {
             removed: None,
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn each_removed_guard_sells_something_twice() {
+fn without_any_one_of_the_guards_a_session_is_sold_twice() {
     for (removed, disk_may_be_lost) in [
         (Guard::PersistBeforeSend, false),
         (Guard::ReconcileBeforeServe, false),
@@ -61,7 +62,7 @@
         let result = check(guards, 2);
         assert!(
             result.counterexample.is_some(),
-            "{guards:?}: nothing was sold twice"
+            "{guards:?}: no session was sold twice"
         );
     }
 }
--- a/crates/recovery/tests/crash/model.rs
+++ b/crates/recovery/tests/crash/model.rs
@@ -1,4 +1,4 @@
-//! The model: one front with one paid key, one server, a disk and the network between them.
+//! The model: a front with one paid key and its disk, one server, and the network between them.
 use crate::front::{key, Front, Guard, Guards, SERVER, SERVER_INCARNATION};
 use crankpaddle_recovery::intents::AttemptResult;
 use crankpaddle_recovery::{
@@ -8,28 +8,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The property that the check holds in every state.
-pub(crate) const SOLD_ONCE: &str = "nothing is sold twice";
+/// The name of the property that must hold in every state.
+pub(crate) const SOLD_ONCE: &str = "no session is sold twice";
 
-/// Bounds the state space: the viewer's key is opened so often at most.
+/// The maximum number of attempts, which bounds the state space.
 const MAX_ATTEMPTS: u8 = 3;
 
 /// The state of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub(crate) struct State {
     disk: BTreeMap<Key, Intent>,
+    /// Writes that are not synced to disk yet, in order.
     unsynced: Vec<StoreWrite>,
-    /// `None` while the power is lost.
+    /// The present incarnation of the front; `None` while there is no power.
     front: Option<Front>,
     attempts_begun: u8,
-    /// Names of set-ups on their way to the server.
-    set_ups_on_wire: BTreeSet<String>,
-    /// Names of set-ups in progress at the server.
+    /// The names of set-ups in transit to the server.
+    set_ups_in_transit: BTreeSet<String>,
+    /// The names of set-ups in progress at the server.
     in_progress: BTreeSet<String>,
-    /// Names of sessions established at the server.
+    /// The names of sessions established at the server.
     established: BTreeSet<String>,
-    /// Names that are fenced at the server: a set-up that arrives later is rejected.
+    /// The names that are fenced at the server. A set-up that arrives later is rejected.
     fenced: BTreeSet<String>,
+    /// How often the server has billed the key.
     sold: u8,
     power_losses: u8,
 }
@@ -41,13 +43,13 @@
     Start,
     /// The viewer opens a session with the key.
     OpenSession,
-    /// All writes are synced to disk.
+    /// All unsynced writes are synced to disk.
     Sync,
     /// A set-up arrives at the server.
     SetUpArrives(String),
-    /// A set-up is completed at the server, which bills it.
+    /// The server completes a set-up and bills the key.
     SetUpCompletes(String),
-    /// The front receives the response that the session is established.
+    /// The response that the session is established arrives at the front.
     SetUpResponseArrives(String),
     /// The viewer closes the session.
     Close(String),
@@ -59,14 +61,14 @@
     FenceArrives(String),
     /// The confirmation of a fence arrives at the front.
     FenceConfirmationArrives(String),
-    /// The power is lost; this number of the unsynced writes is on disk all the same.
+    /// The power is lost. The first of the unsynced writes, this many, are on disk nevertheless.
     PowerLost(usize),
     /// The disk is found empty.
     DiskLost,
 }
 
-/// An action for each of the names.
-fn one_for_each(names: &BTreeSet<String>, action: fn(String) -> Action) -> Vec<Action> {
+/// The action for each of the names.
+fn action_for_each(names: &BTreeSet<String>, action: fn(String) -> Action) -> Vec<Action> {
     names.iter().cloned().map(action).collect()
 }
 
@@ -121,7 +123,7 @@
         if guards.has(Guard::PersistBeforeSend) {
             front.waiting_for_sync = Some(attempt_name);
         } else {
-            self.set_ups_on_wire.insert(attempt_name);
+            self.set_ups_in_transit.insert(attempt_name);
         }
         Some(())
     }
@@ -131,12 +133,12 @@
             self.persist(&write);
         }
         let released = self.front.as_mut()?.waiting_for_sync.take();
-        self.set_ups_on_wire.extend(released);
+        self.set_ups_in_transit.extend(released);
         Some(())
     }
 
     fn set_up_arrives(&mut self, attempt_name: String) {
-        self.set_ups_on_wire.remove(&attempt_name);
+        self.set_ups_in_transit.remove(&attempt_name);
         if !self.fenced.contains(&attempt_name) {
             self.in_progress.insert(attempt_name);
         }
@@ -214,7 +216,7 @@
         self.power_losses += 1;
     }
 
-    /// Takes a step; `None`: it is not possible in this state.
+    /// Applies an action. Returns `None` if the action does not apply to this state.
     fn apply(&mut self, action: Action, guards: Guards) -> Option<()> {
         match action {
             Action::Start => self.start(guards),
@@ -241,17 +243,18 @@
 pub(crate) struct PowerLossModel {
     /// Which guards the front has.
     pub(crate) guards: Guards,
-    /// Bounds the state space.
+    /// The maximum number of power losses, which bounds the state space.
     pub(crate) max_power_losses: u8,
 }
 
 impl PowerLossModel {
     fn actions_without_power(&self, state: &State, actions: &mut Vec<Action>) {
         actions.push(Action::Start);
-        // A fault that the product does not cover, as docs/power.md states: with the disk lost, no one knows of a set-up that has not
-        // reached its server. So the model loses the disk only while none is on the wire.
+        // If the disk is lost while a set-up is in transit, neither the front nor its server knows of that set-up. The front
+        // does not guard against this fault, as docs/power.md states, so the model loses the disk only while no set-up is in
+        // transit.
         if self.guards.disk_may_be_lost
-            && state.set_ups_on_wire.is_empty()
+            && state.set_ups_in_transit.is_empty()
             && !state.disk.is_empty()
         {
             actions.push(Action::DiskLost);
@@ -266,12 +269,12 @@
             actions.push(Action::Sync);
         }
         match front.outcome() {
-            Some(IntentOutcome::InFlight) => actions.extend(one_for_each(
+            Some(IntentOutcome::InFlight) => actions.extend(action_for_each(
                 &state.established,
                 Action::SetUpResponseArrives,
             )),
             Some(IntentOutcome::Established) => {
-                actions.extend(one_for_each(&state.established, Action::Close));
+                actions.extend(action_for_each(&state.established, Action::Close));
             }
             Some(IntentOutcome::Completed | IntentOutcome::Failed) | None => {}
         }
@@ -281,8 +284,8 @@
         if front.inventory_response.is_some() {
             actions.push(Action::InventoryArrives);
         }
-        actions.extend(one_for_each(&front.fence_requests, Action::FenceArrives));
-        actions.extend(one_for_each(
+        actions.extend(action_for_each(&front.fence_requests, Action::FenceArrives));
+        actions.extend(action_for_each(
             &front.fence_responses,
             Action::FenceConfirmationArrives,
         ));
@@ -301,8 +304,11 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        actions.extend(one_for_each(&state.set_ups_on_wire, Action::SetUpArrives));
-        actions.extend(one_for_each(&state.in_progress, Action::SetUpCompletes));
+        actions.extend(action_for_each(
+            &state.set_ups_in_transit,
+            Action::SetUpArrives,
+        ));
+        actions.extend(action_for_each(&state.in_progress, Action::SetUpCompletes));
         match &state.front {
             Some(front) => self.actions_with_power(state, front, actions),
             None => self.actions_without_power(state, actions),
