--- a/crates/store/examples/cost.rs
+++ b/crates/store/examples/cost.rs
@@ -1,5 +1,7 @@
-//! What a store costs: a single commit, commits of many writes, and reading what is persisted, beside the least that any store could
-//! take: the same bytes appended to a file and synced. `cargo run --release -p crankpaddle-store --example cost [FOLDER]`
+//! A benchmark of the store. It measures commits of one write and of many writes, and reading the persisted state. For
+//! comparison, it also appends the same number of bytes to a plain file and syncs it, which is the minimum for any store.
+//!
+//! Run: `cargo run --release -p crankpaddle-store --example cost [FOLDER]`
 use crankpaddle_recovery::{Intent, IntentOutcome, Key, StoreWrite};
 use crankpaddle_store::Store;
 use std::error::Error;
@@ -8,24 +10,29 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+/// The number of measured commits for each group size.
 const ROUNDS: u64 = 400;
-/// Writes in one commit.
+/// The numbers of writes in one commit that are measured.
 const GROUP_SIZES: [u64; 3] = [1, 16, 256];
+/// The numbers of entries whose reading is measured.
 const ENTRY_COUNTS: [u64; 3] = [1_000, 10_000, 100_000];
-/// Entries are written in commits of this size before they are read.
+/// The number of writes per commit that prepare the entries to be read.
 const ENTRIES_PER_COMMIT: usize = 1000;
-/// The size of one entry in the plain file, about that of an encoded one.
+/// The number of bytes per write to the plain file, about the size of an encoded entry.
 const PLAIN_ENTRY_BYTES: usize = 120;
 
-fn put_intent(n: u64) -> StoreWrite {
+fn put_intent(number: u64) -> StoreWrite {
     let key = Key {
-        tenant: format!("t{}", n % 5),
-        bill: format!("{n:032x}"),
+        tenant: format!("t{}", number % 5),
+        bill: format!("{number:032x}"),
     };
     let intent = Intent {
         class: "licensed-view".into(),
-        server: n as u32 % 150,
-        attempt_name: format!("{:016x}-{n:x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        server: number as u32 % 150,
+        attempt_name: format!(
+            "{:016x}-{number:x}",
+            number.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        ),
         server_incarnation: "17".into(),
         outcome: IntentOutcome::InFlight,
         retained_until: u64::MAX,
@@ -36,7 +43,7 @@
 fn print_quantiles(label: &str, mut times: Vec<Duration>, writes_per_commit: u64) {
     times.sort_unstable();
     let quantile_ms =
-        |part: f64| times[((times.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e3;
+        |quantile: f64| times[((times.len() - 1) as f64 * quantile) as usize].as_secs_f64() * 1e3;
     println!(
         "{label:44} p50 {:7.2} ms  p99 {:7.2} ms  a write {:7.1} us",
         quantile_ms(0.5),
@@ -63,7 +70,7 @@
     let mut plain_times = Vec::new();
     for round in 0..ROUNDS {
         let writes: Vec<StoreWrite> = (0..group_size)
-            .map(|n| put_intent(round * group_size + n))
+            .map(|number| put_intent(round * group_size + number))
             .collect();
         let started_at = Instant::now();
         store.write(&writes)?;
@@ -91,10 +98,10 @@
     let mut store = Store::open(&folder, "boot")?.store;
     let numbers: Vec<u64> = (0..entry_count).collect();
     for chunk in numbers.chunks(ENTRIES_PER_COMMIT) {
-        let writes: Vec<StoreWrite> = chunk.iter().map(|n| put_intent(*n)).collect();
+        let writes: Vec<StoreWrite> = chunk.iter().map(|number| put_intent(*number)).collect();
         store.write(&writes)?;
     }
-    // As a power loss leaves it: a copy of the files while the store is open.
+    // The files are copied while the store is open, so that the copy is in the state that a power loss leaves.
     let copy = dir.join(format!("copy-{entry_count}"));
     fs::create_dir_all(&copy)?;
     for file in fs::read_dir(&folder)? {
@@ -120,7 +127,7 @@
         .nth(1)
         .map_or_else(std::env::temp_dir, Into::into)
         .join("crankpaddle-cost");
-    // What an aborted run left; usually there is none.
+    // An aborted run may have left its folder. Usually it does not exist, so the result is ignored.
     let _ = fs::remove_dir_all(&dir);
     fs::create_dir_all(&dir)?;
     for group_size in GROUP_SIZES {
--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -1,26 +1,27 @@
-//! Opening the database and reading all that it holds.
+//! Opening the database and reading all of its content.
 use crate::errors::{Corruption, Error};
 use crate::tables::{self, StoredState};
 use redb::{Builder, Database, DatabaseError};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
 
-/// The database's page cache, in bytes. A front's entries are small, and it reads them once, at the start.
+/// The size of the database's page cache. It can be small, since the entries of a front are small and are read only once, at
+/// the start.
 const CACHE_BYTES: usize = 16 << 20;
 
-/// Opens the database with the given settings; called again after a fault of the disk.
+/// Opens the database with the given settings. It is called again after a failed write.
 pub(crate) type DatabaseOpener = Box<dyn Fn(&Builder) -> Result<Database, DatabaseError> + Send>;
 
-/// An open database, and what it held when it was opened.
+/// An open database, and the state that it contained when it was opened.
 pub(crate) struct LoadedDatabase {
     pub(crate) database: Database,
     pub(crate) state: StoredState,
 }
 
-/// Opens the database and reads it.
+/// Opens the database and reads its content.
 ///
-/// Work-around for redb 4.6.0, which may panic on content that it did not write. Its integrity check finds such content at the price
-/// of reading the whole file; a panic all the same counts as corruption.
+/// Workaround for redb 4.6.0, which may panic on content that it did not write. Its integrity check detects such content, at
+/// the price of reading the whole file. If it panics nevertheless, the file counts as corrupted.
 pub(crate) fn load(dir: &Path, opener: &DatabaseOpener) -> Result<LoadedDatabase, Error> {
     let mut builder = Builder::new();
     builder
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -1,4 +1,4 @@
-//! Errors of a store, and what an operator can do about each.
+//! The errors of a store, with advice to the operator for each of them.
 use miette::Diagnostic;
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
@@ -13,19 +13,19 @@
         help("give each front a store.dir of its own; if a previous process of this front is still shutting down, start again once it has exited")
     )]
     Locked {
-        /// The folder.
+        /// The store's folder.
         dir: PathBuf,
     },
     /// A later release wrote the folder.
     #[error("{}: version {found} of the store is from a later release; this one reads up to {supported}", dir.display())]
     #[diagnostic(
-        code(store::future), // The documented code; it stays the same over releases.
+        code(store::future), // The code is documented and must not change.
         help("start the release that wrote it, or give this one an empty store.dir; nothing in the folder was changed")
     )]
     NewerVersion {
-        /// The folder.
+        /// The store's folder.
         dir: PathBuf,
-        /// The version found.
+        /// The version that the folder's version file states.
         found: u32,
         /// The latest version that this release reads.
         supported: u32,
@@ -37,21 +37,21 @@
         help("check that the disk is present, has free space and can be written to; until then no paid session is set up, and free ones are served")
     )]
     Disk {
-        /// The folder.
+        /// The store's folder.
         dir: PathBuf,
-        /// The system's error.
+        /// The error of the operating system, or of the database on a disk that failed before.
         source: io::Error,
     },
     /// The folder's content is not a valid store.
     #[error("{}: {source}", dir.display())]
     #[diagnostic(
-        code(store::torn), // The documented code; it stays the same over releases.
+        code(store::torn), // The code is documented and must not change.
         help("the file was moved aside in the folder and a new one created; servers are queried for what they ran; keep the file if bills are disputed")
     )]
     Corrupted {
-        /// The folder.
+        /// The store's folder.
         dir: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the content.
         source: Corruption,
     },
 }
@@ -59,25 +59,25 @@
 /// What is wrong with the content of a store's folder.
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
-    /// There is a database file without a valid version file.
+    /// There is a database file, but no valid version file.
     #[error("its VERSION file is missing or not a number")]
     VersionFile,
-    /// The database panicked while it read its file.
+    /// The database library panicked while it read the file.
     #[error("the database panicked while reading it")]
     DatabasePanic,
-    /// The database found invalid content.
+    /// The database library found invalid content, described by this text.
     #[error("{0}")]
     Content(String),
-    /// The database reported its content as an I/O error.
+    /// The database library reported invalid content as an I/O error.
     #[error(transparent)]
     Io(io::Error),
-    /// The database can't use its file for another reason.
+    /// The database library can't use the file for another reason.
     #[error(transparent)]
     Database(Box<redb::Error>),
 }
 
 impl Error {
-    /// One error of each kind, for docs/errors.md.
+    /// One error of each kind, from which docs/errors.md is generated.
     #[must_use]
     pub fn samples() -> Vec<Error> {
         let dir = || PathBuf::from("DIR");
@@ -119,14 +119,15 @@
         }
     }
 
-    /// Classifies an error of the database: is the folder another process's, does the disk fail, or is the content invalid?
+    /// Classifies an error of the database: another process has the folder open, the disk fails, or the content is invalid.
     pub(crate) fn from_database(dir: &Path, error: impl Into<redb::Error>) -> Error {
         match error.into() {
             redb::Error::DatabaseAlreadyOpen | redb::Error::LockProtocolMismatch => Error::Locked {
                 dir: dir.to_owned(),
             },
-            // Work-around for redb 4.6.0, which reports a file that is no database, or is too short, as an I/O error of these kinds. Why it
-            // matters: a corrupted file taken for a failing disk would stop paid service until an operator intervenes.
+            // Workaround for redb 4.6.0, which reports a file that is not a database, or is too short, as an I/O error of these
+            // kinds. If a corrupted file were mistaken for a failing disk, paid service would stop until an operator
+            // intervenes.
             redb::Error::Io(error)
                 if matches!(
                     error.kind(),
--- a/crates/store/src/errors/tests.rs
+++ b/crates/store/src/errors/tests.rs
@@ -12,7 +12,7 @@
     assert_eq!(
         samples.iter().map(kind).collect::<Vec<_>>(),
         [0, 1, 2, 3],
-        "a kind has no sample"
+        "not exactly one sample of each kind"
     );
     for error in samples {
         assert!(
--- a/crates/store/src/open.rs
+++ b/crates/store/src/open.rs
@@ -1,12 +1,14 @@
-//! How a folder is opened: which fault makes that fail, and what is created instead.
+//! How the folder of a store is opened, and what happens if it can't be used:
 //!
-//! - Another process has it open, or a later release wrote it: the operator's fault. Nothing is changed, and the front does not start.
-//! - The database file is corrupted: it is quarantined and a new one is created. The previous state counts as unknown, so that the
-//!   servers are queried for what they ran.
-//! - The disk fails: the previous state is unknown and nothing can be persisted. The front starts and sets up nothing that is paid.
+//! - If another process has it open, or a later release wrote it, the operator must correct that. Nothing in the folder is
+//!   changed, and the front does not start.
+//! - If the database file is corrupted, it is quarantined and a new one is created. The previous state counts as unknown, so
+//!   the servers are queried for what they ran.
+//! - If the disk fails, the previous state is unknown and nothing can be persisted. The front starts, but sets up no paid
+//!   sessions.
 use crate::database::{self, DatabaseOpener, LoadedDatabase};
 use crate::errors::{Corruption, Error};
-use crate::tables::{self, StoredState, VERSION};
+use crate::tables::{self, StoredState, FORMAT_VERSION};
 use crate::version_file::{self, FolderVersion};
 use crankpaddle_recovery::{
     ConservativeBound, PreviousShutdown, RecoveredState, StillValid, StoreWrite,
@@ -17,14 +19,15 @@
 use std::path::{Path, PathBuf};
 
 const DATABASE_FILE_NAME: &str = "front.redb";
-/// Stands in messages for the folder of a store that has none.
-const BACKEND_WITHOUT_FOLDER: &str = "(a disk of its own)";
+/// Replaces the folder in messages about a store on another storage backend.
+const CUSTOM_BACKEND_NAME: &str = "(custom storage backend)";
 
 /// An open store. Dropping it closes it.
 pub struct Store {
-    /// `None` after a fault of the disk, until it is reopened.
+    /// `None` after a failed write, until the next write reopens the database.
     database: Option<Database>,
     dir: PathBuf,
+    /// Opens the database again after a failed write.
     opener: DatabaseOpener,
 }
 
@@ -40,28 +43,30 @@
 /// The result of opening a folder.
 #[derive(Debug)]
 pub struct OpenedStore {
-    /// The store.
+    /// The open store, in which the new incarnation has begun.
     pub store: Store,
-    /// What previous incarnations persisted.
+    /// The state that previous incarnations persisted.
     pub recovered: RecoveredState,
-    /// The corrupted database file that was moved aside, if there was one.
+    /// The corrupted database file that was moved aside; `None` if the file was valid or there was none.
     pub quarantined: Option<QuarantinedFile>,
 }
 
-/// A corrupted database file that was moved aside.
+/// A corrupted database file that was moved aside, so that an operator can still examine it.
 #[derive(Debug)]
 pub struct QuarantinedFile {
     /// Its new path.
     pub path: PathBuf,
-    /// What is wrong with its content.
+    /// Why the file was moved aside.
     pub reason: Error,
 }
 
 impl Store {
-    /// Opens a folder, creates it if it does not exist, and begins an incarnation. `boot_id` identifies the present boot of the host.
+    /// Opens a folder, or creates it if it does not exist, and begins an incarnation. `boot_id` identifies the present boot of
+    /// the host.
     ///
     /// # Errors
-    /// Another process has the folder open, a later release wrote it, or the disk fails. A corrupted database file is not an error.
+    /// Another process has the folder open, a later release wrote it, or the disk fails. A corrupted database file is no error,
+    /// since it is quarantined.
     pub fn open(dir: &Path, boot_id: &str) -> Result<OpenedStore, Error> {
         fs::create_dir_all(dir).map_err(|source| Error::disk(dir, source))?;
         let unversioned = quarantine_unversioned(dir)?;
@@ -72,7 +77,7 @@
         begin(dir, opener, loaded, boot_id, corrupted.or(unversioned))
     }
 
-    /// Opens a store on any storage backend: for tests that watch the disk, delay it or let it fail.
+    /// Opens a store on any storage backend. Tests use this to observe the operations of a disk, delay them or make them fail.
     ///
     /// # Errors
     /// The disk fails, or its content is not a valid store.
@@ -80,22 +85,22 @@
         backend: B,
         boot_id: &str,
     ) -> Result<OpenedStore, Error> {
-        let dir = Path::new(BACKEND_WITHOUT_FOLDER);
+        let dir = Path::new(CUSTOM_BACKEND_NAME);
         let opener: DatabaseOpener =
             Box::new(move |builder| builder.create_with_backend(backend.clone()));
         let loaded = database::load(dir, &opener)?;
         begin(dir, opener, loaded, boot_id, None)
     }
 
-    /// Writes all or nothing; the writes are durable once it returns. After a fault of the disk the next call reopens the database.
+    /// Writes all or nothing. The writes are durable once it returns. After a failed call the next one reopens the database.
     ///
     /// # Errors
-    /// The disk fails; none of the writes may be relied on.
+    /// The disk fails, or the content of the database is found to be invalid. It is unknown whether the writes are durable.
     pub fn write(&mut self, writes: &[StoreWrite]) -> Result<(), Error> {
         let database = match self.database.take() {
             Some(database) => database,
-            // Work-around for redb 4.6.0: once an I/O error occurred, every call fails until the database is reopened. What is read
-            // then is dropped: this incarnation wrote it before the fault.
+            // Workaround for redb 4.6.0: once an I/O error has occurred, every call fails until the database is reopened. The
+            // state that is read then is dropped, because this incarnation wrote it before the fault.
             None => database::load(&self.dir, &self.opener)?.database,
         };
         tables::write(&database, writes).map_err(|error| Error::from_database(&self.dir, error))?;
@@ -103,20 +108,21 @@
         Ok(())
     }
 
-    /// The folder.
+    /// The path of the folder; a placeholder for messages if the store is on another storage backend.
     #[must_use]
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 }
 
-/// Quarantines the database file if the folder's version file is missing or malformed.
+/// Quarantines the database file if the folder's version file is missing or malformed. Fails if a later release wrote the
+/// folder.
 fn quarantine_unversioned(dir: &Path) -> Result<Option<QuarantinedFile>, Error> {
     match version_file::read(dir).map_err(|source| Error::disk(dir, source))? {
-        FolderVersion::Number(found) if found > VERSION => Err(Error::NewerVersion {
+        FolderVersion::Number(found) if found > FORMAT_VERSION => Err(Error::NewerVersion {
             dir: dir.to_owned(),
             found,
-            supported: VERSION,
+            supported: FORMAT_VERSION,
         }),
         FolderVersion::Number(_) => Ok(None),
         FolderVersion::Missing | FolderVersion::Malformed => {
@@ -125,7 +131,7 @@
     }
 }
 
-/// Loads the database; a corrupted one is quarantined, and a new one is created.
+/// Loads the database. A corrupted file is quarantined, and a new database is created.
 fn load_or_replace(
     dir: &Path,
     opener: &DatabaseOpener,
@@ -140,7 +146,8 @@
     }
 }
 
-/// Moves the database file aside under a name that is free; people may still need its content. `None`: there is no such file.
+/// Renames the database file to a free name, since its content may still be needed. Returns `None` if there is no database
+/// file.
 fn quarantine(dir: &Path, reason: Error) -> Result<Option<QuarantinedFile>, Error> {
     let file = dir.join(DATABASE_FILE_NAME);
     if !file.exists() {
@@ -159,7 +166,7 @@
     }))
 }
 
-/// Begins an incarnation on a loaded database.
+/// Begins an incarnation of the front on a loaded database.
 fn begin(
     dir: &Path,
     opener: DatabaseOpener,
@@ -190,7 +197,7 @@
     })
 }
 
-/// What the new incarnation starts from.
+/// The state from which the new incarnation starts.
 fn recovered_state(state: StoredState, boot_id: &str) -> RecoveredState {
     let shutdown = previous_shutdown(&state, boot_id);
     RecoveredState {
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -1,7 +1,7 @@
 //! The stored form: tables, keys and values in the database.
 //!
-//! Names of tables and keys, and the order of the fields and variants of [`Intent`], are the stored form and don't change within a
-//! [`VERSION`].
+//! The names of tables and keys, and the order of the fields and variants of [`Intent`], are part of the stored form and must
+//! not change unless [`FORMAT_VERSION`] does.
 use crankpaddle_recovery::intents::milliseconds;
 use crankpaddle_recovery::{Intent, Key, StoreWrite};
 use redb::{
@@ -11,45 +11,47 @@
 use std::time::Duration;
 
 /// The version of the stored form.
-pub(crate) const VERSION: u32 = 1;
+pub(crate) const FORMAT_VERSION: u32 = 1;
 
-/// Intents in postcard form by tenant and billing identifier.
+/// The intents, encoded in postcard, by tenant and billing identifier.
 const INTENTS: TableDefinition<(&str, &str), &[u8]> = TableDefinition::new("intents");
+/// Numbers by name.
 const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("numbers");
+/// Texts by name.
 const TEXTS: TableDefinition<&str, &str> = TableDefinition::new("words");
 
-/// In [`NUMBERS`]: the number of starts.
+/// In [`NUMBERS`]: the number of starts of the front.
 const EPOCH: &str = "epoch";
-/// In [`NUMBERS`]: 1 after a graceful shutdown, else 0.
+/// In [`NUMBERS`]: 1 after a graceful shutdown, otherwise 0.
 const CLEAN_SHUTDOWN: &str = "ended-in-order";
 /// In [`NUMBERS`]: the number of fronts in the fleet.
 const FLEET_SIZE: &str = "fleet";
 /// In [`NUMBERS`]: the accumulated uptime of all incarnations, in milliseconds.
 const UPTIME_MS: &str = "ran";
-/// In [`TEXTS`]: identifies the boot of the host.
+/// In [`TEXTS`]: identifies the boot of the host during which the last incarnation began.
 const BOOT_ID: &str = "boot";
 
-/// All that the database holds.
+/// The whole content of the database.
 #[derive(Debug, Default)]
 pub(crate) struct StoredState {
     pub(crate) intents: Vec<(Key, Intent)>,
-    /// Zero if no incarnation has begun.
+    /// The number of starts of the front; zero if no incarnation has begun.
     pub(crate) epoch: u64,
     pub(crate) clean_shutdown: bool,
     pub(crate) fleet_size: u32,
     pub(crate) uptime: Duration,
     pub(crate) boot_id: String,
-    /// The number of intents that could not be decoded; they are left out.
+    /// The number of intents that could not be decoded. They are missing in `intents`.
     pub(crate) undecodable_entries: usize,
 }
 
-/// Reads all that the database holds.
+/// Reads the whole content of the database.
 pub(crate) fn read(database: &Database) -> Result<StoredState, redb::Error> {
     let transaction = database.begin_read()?;
     let mut state = StoredState::default();
     match transaction.open_table(INTENTS) {
         Ok(table) => read_intents(&table, &mut state)?,
-        // The database is new.
+        // Without this table the database is new.
         Err(TableError::TableDoesNotExist(_)) => return Ok(state),
         Err(error) => return Err(error.into()),
     }
@@ -96,7 +98,7 @@
     Ok(())
 }
 
-/// Begins an incarnation, and creates the tables of a new database; durable once it returns.
+/// Begins an incarnation, and creates the tables of a new database. This is durable once it returns.
 pub(crate) fn begin_incarnation(
     database: &Database,
     epoch: u64,
@@ -113,7 +115,7 @@
     Ok(transaction.commit()?)
 }
 
-/// Writes all or nothing; durable once it returns.
+/// Writes all or nothing. The writes are durable once it returns.
 pub(crate) fn write(database: &Database, writes: &[StoreWrite]) -> Result<(), redb::Error> {
     let transaction = database.begin_write()?;
     {
@@ -133,7 +135,7 @@
 ) -> Result<(), redb::Error> {
     match write {
         StoreWrite::Put(key, intent) => {
-            // Encoding can't fail: the type has no form that postcard rejects, and the buffer grows.
+            // Encoding can't fail, since postcard supports all values of the type and the buffer grows as needed.
             let value = postcard::to_allocvec(intent).unwrap_or_default();
             intents.insert((key.tenant.as_str(), key.bill.as_str()), value.as_slice())?;
         }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,7 +1,8 @@
 //! The thread that writes a store.
 //!
-//! Why a thread: a coroutine that waits for a disk blocks all others of its thread. So requests go through a queue, and a requester
-//! that waits is notified when its writes are durable. Requests that arrive while the disk is busy are committed together.
+//! Writes have a thread of their own, because a coroutine that waits for a disk blocks all other coroutines of its thread.
+//! Requests go through a queue, and a requester that waits is notified when its writes are durable. Requests that arrive while
+//! the disk is busy are committed together.
 use crate::errors::Error;
 use crate::open::Store;
 use crankpaddle_recovery::StoreWrite;
@@ -9,23 +10,23 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long writes for which no requester waits are collected before they are committed together.
+/// How long requests for which no requester waits are collected before they are committed together.
 const GROUP_COMMIT_DELAY: Duration = Duration::from_millis(100);
 /// The maximum number of requests in one commit, which bounds its duration.
 const MAX_GROUP_REQUESTS: usize = 1024;
-/// How long after a failure the disk is not tried again; requests fail at once meanwhile.
+/// How long after a failed commit the disk is not accessed again. Requests fail at once during that time.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A request to write.
 #[derive(Debug)]
 pub struct WriteRequest {
-    /// The writes, applied in this order, all or nothing.
+    /// The writes, which are applied in this order, all or nothing.
     pub writes: Vec<StoreWrite>,
-    /// Identifies the requester that waits until the writes are durable; `None`: no requester waits.
+    /// Identifies the requester that waits until the writes are durable; `None` if no requester waits.
     pub token: Option<u64>,
 }
 
-/// The handle of the thread that writes a store.
+/// A handle to the thread that writes a store.
 #[derive(Debug)]
 pub struct StoreWriter {
     requests: Sender<WriteRequest>,
@@ -33,7 +34,7 @@
 }
 
 impl StoreWriter {
-    /// Starts the thread. It calls `on_written` for each token, with whether the writes are durable.
+    /// Starts the thread. It calls `on_written` for each token once it is known whether the writes are durable.
     pub fn start(
         store: Store,
         on_written: impl Fn(u64, Result<(), &Error>) + Send + 'static,
@@ -43,7 +44,7 @@
         StoreWriter { requests, thread }
     }
 
-    /// Queues a request. Returns false if the thread has ended; then no requester is notified.
+    /// Queues a request. Returns false if the thread has ended, in which case the requester is not notified.
     pub fn submit(&self, request: WriteRequest) -> bool {
         if request.writes.is_empty() && request.token.is_none() {
             return true;
@@ -51,14 +52,14 @@
         self.requests.send(request).is_ok()
     }
 
-    /// Closes the queue. Returns the thread, which still writes what is queued; join it where blocking is allowed.
+    /// Closes the queue. Returns the thread, which still writes the queued requests. Join it where blocking is allowed.
     #[must_use]
     pub fn finish(self) -> JoinHandle<()> {
         self.thread
     }
 }
 
-/// A failed commit.
+/// The last failed commit.
 struct WriteFailure {
     at: Instant,
     error: Error,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Collects the requests of one commit: those that are queued, and while no requester waits also those that arrive within
+/// Collects the requests of one commit: those that are queued, and as long as no requester waits also those that arrive within
 /// [`GROUP_COMMIT_DELAY`].
 fn collect_group(first: WriteRequest, requests: &Receiver<WriteRequest>) -> Vec<WriteRequest> {
     let deadline = Instant::now() + GROUP_COMMIT_DELAY;
@@ -95,7 +96,8 @@
     group
 }
 
-/// Commits a group, or fails it at once while the last failure is recent. Returns the failure, if it failed.
+/// Commits a group, or fails it at once if the last failure is more recent than [`RETRY_DELAY`]. Returns the failure; `None` if
+/// the group was committed.
 fn commit_or_fail_fast(
     store: &mut Store,
     group: &[WriteRequest],
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that records what is done to it, and the entries that a store holds.
-#![allow(dead_code)] // Each test binary uses a part of this module.
+//! A disk in memory that records its operations, and intents to write to a store.
+#![allow(dead_code)] // Each test binary uses only a part of this module.
 use crankpaddle_recovery::{Intent, IntentOutcome, Key, RecoveredState, StoreWrite};
 use redb::StorageBackend;
 use std::collections::BTreeMap;
@@ -10,35 +10,36 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-pub(crate) fn key(n: u64) -> Key {
+pub(crate) fn key(number: u64) -> Key {
     Key {
-        tenant: format!("t{}", n % 3),
-        bill: format!("{n:032x}"),
+        tenant: format!("t{}", number % 3),
+        bill: format!("{number:032x}"),
     }
 }
 
-pub(crate) fn intent(n: u64, outcome: IntentOutcome) -> Intent {
+pub(crate) fn intent(number: u64, outcome: IntentOutcome) -> Intent {
     Intent {
         class: "licensed-view".into(),
-        server: n as u32 % 12,
-        attempt_name: format!("{n:016x}-{n:x}"),
+        server: number as u32 % 12,
+        attempt_name: format!("{number:016x}-{number:x}"),
         server_incarnation: "1".into(),
         outcome,
-        retained_until: n,
+        retained_until: number,
     }
 }
 
-pub(crate) fn put(n: u64, outcome: IntentOutcome) -> StoreWrite {
-    StoreWrite::Put(key(n), intent(n, outcome))
+pub(crate) fn put(number: u64, outcome: IntentOutcome) -> StoreWrite {
+    StoreWrite::Put(key(number), intent(number, outcome))
 }
 
-/// The intents that a store holds.
+/// The intents that a store contains.
 pub(crate) type Entries = BTreeMap<Key, Intent>;
 
 pub(crate) fn recovered_entries(recovered: &RecoveredState) -> Entries {
     recovered.intents.0.iter().cloned().collect()
 }
 
+/// Applies writes to entries in the way in which a store does.
 pub(crate) fn apply(entries: &mut Entries, writes: &[StoreWrite]) {
     for write in writes {
         match write {
@@ -53,7 +54,7 @@
     }
 }
 
-/// An operation on a disk.
+/// An operation of a disk that changes its content or syncs it.
 #[derive(Clone, Debug)]
 pub(crate) enum DiskOperation {
     Write { offset: u64, data: Vec<u8> },
@@ -61,7 +62,7 @@
     Sync,
 }
 
-/// A disk in memory that records each operation that changes it.
+/// A disk in memory that records each operation that changes or syncs it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecordingDisk {
     bytes: Arc<Mutex<Vec<u8>>>,
@@ -121,7 +122,7 @@
     }
 }
 
-/// Writes data at an offset; the content grows where it is too short.
+/// Writes data at an offset, and extends the content if it is too short.
 pub(crate) fn overwrite(bytes: &mut Vec<u8>, offset: u64, data: &[u8]) {
     let start = offset as usize;
     let end = start + data.len();
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,26 +1,27 @@
-//! A power loss at each moment of a recorded run, with each order in which a disk may have persisted what was not synced yet.
+//! Power losses before each sync of a recorded run, with different subsets of the unsynced writes persisted.
 //!
-//! A disk holds what was written before the last completed sync. Of later writes any set of sectors may be persisted: in order, out
-//! of order, or none. Whatever it is, a store opened on it must hold the result of some commit, no older than the last one that was
-//! reported as durable.
+//! A disk holds what was written before the last completed sync. Any subset of the sectors that were written later may be
+//! persisted as well. In each case a store that is opened on the disk must contain the result of one commit, and it must not be
+//! older than the last commit that was reported as durable.
 mod common;
 use common::{apply, intent, key, overwrite, put, recovered_entries};
 use common::{DiskOperation, Entries, RecordingDisk};
 use crankpaddle_recovery::{IntentOutcome, StoreWrite};
 use crankpaddle_store::Store;
 
-/// A disk persists this number of bytes at once or not at all.
+/// The number of bytes that a disk persists atomically.
 const SECTOR_BYTES: usize = 4096;
-/// Up to this number of unsynced changes all subsets are tried; of more, each prefix, each single one, each missing one, and some
-/// random ones.
+/// Up to this number of unsynced changes all subsets are checked. Of more changes these subsets are checked: each prefix, each
+/// single change, all changes but one, and some random subsets.
 const MAX_EXHAUSTIVE_CHANGES: usize = 7;
+/// The number of random subsets that are checked.
 const RANDOM_SUBSETS: usize = 24;
 
 /// A commit that was reported as durable.
 struct Commit {
     /// The number of disk operations up to the report.
     operation_count: usize,
-    /// What the store holds since.
+    /// The entries that the store contains after the commit.
     entries: Entries,
 }
 
@@ -29,17 +30,18 @@
     commits: Vec<Commit>,
 }
 
-/// The writes of one commit of a front: an intent, the outcome of the one before, and sometimes the removal of an earlier one.
-fn writes_of_commit(n: u64) -> Vec<StoreWrite> {
-    let mut writes = vec![put(n, IntentOutcome::InFlight)];
-    if n > 0 {
+/// The writes of one commit of a front: an intent, the outcome of the previous one, and in every third commit the removal of an
+/// earlier one.
+fn writes_of_commit(number: u64) -> Vec<StoreWrite> {
+    let mut writes = vec![put(number, IntentOutcome::InFlight)];
+    if number > 0 {
         writes.push(StoreWrite::Put(
-            key(n - 1),
-            intent(n - 1, IntentOutcome::Established),
+            key(number - 1),
+            intent(number - 1, IntentOutcome::Established),
         ));
     }
-    if n % 3 == 2 {
-        writes.push(StoreWrite::Remove(key(n - 2)));
+    if number % 3 == 2 {
+        writes.push(StoreWrite::Remove(key(number - 2)));
     }
     writes
 }
@@ -52,8 +54,8 @@
         operation_count: disk.operation_count(),
         entries: entries.clone(),
     }];
-    for n in 0..commit_count {
-        let writes = writes_of_commit(n);
+    for number in 0..commit_count {
+        let writes = writes_of_commit(number);
         store.write(&writes).unwrap();
         apply(&mut entries, &writes);
         commits.push(Commit {
@@ -68,7 +70,7 @@
     }
 }
 
-/// A change of a disk's content that is persisted at once or not at all.
+/// A change of a disk's content that is persisted atomically.
 enum Change {
     Sector { offset: u64, data: Vec<u8> },
     Length(u64),
@@ -83,7 +85,7 @@
     }
 }
 
-/// Splits a write at the boundaries of the disk's sectors, which are not where a write begins.
+/// Splits a write at the boundaries of the disk's sectors. The write itself may begin within a sector.
 fn split_into_sectors(offset: u64, data: &[u8]) -> Vec<Change> {
     let mut sectors = Vec::new();
     let mut start = 0;
@@ -101,7 +103,7 @@
     sectors
 }
 
-/// Which of `count` unsynced changes are persisted, in each way that is tried.
+/// The subsets of `count` unsynced changes that are checked. Each one tells for every change whether it is persisted.
 fn persisted_subsets(count: usize, rng: &mut oorandom::Rand32) -> Vec<Vec<bool>> {
     if count <= MAX_EXHAUSTIVE_CHANGES {
         return (0..1u32 << count)
@@ -124,19 +126,19 @@
     subsets
 }
 
-/// The disk of a recorded run that is replayed, with a power loss before each sync.
+/// Replays the disk operations of a recorded run, with a power loss before each sync.
 struct Replay<'a> {
     run: &'a RecordedRun,
     rng: oorandom::Rand32,
     synced_bytes: Vec<u8>,
     unsynced: Vec<Change>,
     /// The number of disk contents on which a store was opened.
-    states: usize,
+    checked_contents: usize,
     violations: Vec<String>,
 }
 
 impl Replay<'_> {
-    /// Opens a store on each content that a power loss before this sync may have left.
+    /// Opens a store on each content of the disk that a power loss before this sync may leave.
     fn lose_power_before_sync(&mut self, operation: usize) {
         for subset in persisted_subsets(self.unsynced.len(), &mut self.rng) {
             let mut bytes = self.synced_bytes.clone();
@@ -145,14 +147,15 @@
                     change.apply(&mut bytes);
                 }
             }
-            self.states += 1;
+            self.checked_contents += 1;
             if let Err(violation) = self.check_content(operation, bytes) {
                 self.violations.push(violation);
             }
         }
     }
 
-    /// The last commit reported before the sync must be held; the one in progress may be.
+    /// Checks that a store opened on this content contains the result of the last commit that was reported before the sync, or
+    /// of the commit in progress.
     fn check_content(&self, operation: usize, bytes: Vec<u8>) -> Result<(), String> {
         let commits = &self.run.commits;
         let reported = commits
@@ -167,13 +170,13 @@
             return Ok(());
         };
         let opened = Store::open_backend(RecordingDisk::with_content(bytes), "other boot")
-            .map_err(|error| format!("at {operation}: {error}"))?;
+            .map_err(|error| format!("power loss before operation {operation}: {error}"))?;
         let found = recovered_entries(&opened.recovered);
-        let holds = |commit: &Commit| commit.entries == found;
-        if holds(reported) || in_progress.is_some_and(holds) {
+        let is_result_of = |commit: &Commit| commit.entries == found;
+        if is_result_of(reported) || in_progress.is_some_and(is_result_of) {
             return Ok(());
         }
-        Err(format!("at {operation}: holds what no commit left"))
+        Err(format!("power loss before operation {operation}: the content is not the result of either commit"))
     }
 
     fn sync(&mut self) {
@@ -183,14 +186,14 @@
     }
 }
 
-/// Replays a run on a disk that keeps what was synced, or on one that does not.
+/// Replays a run on a disk that keeps synced writes, or on one that loses them.
 fn replay(run: &RecordedRun, keeps_synced: bool, seed: u64) -> Replay<'_> {
     let mut replay = Replay {
         run,
         rng: oorandom::Rand32::new(seed),
         synced_bytes: Vec::new(),
         unsynced: Vec::new(),
-        states: 0,
+        checked_contents: 0,
         violations: Vec::new(),
     };
     for (index, operation) in run.operations.iter().enumerate() {
@@ -214,12 +217,12 @@
 fn each_subset_of_unsynced_writes_recovers_to_the_result_of_a_commit() {
     let run = record(if cfg!(debug_assertions) { 6 } else { 40 });
     let replay = replay(&run, true, 1);
-    let states = replay.states;
+    let checked_contents = replay.checked_contents;
     println!(
-        "{states} states of a disk, {} writes and syncs",
+        "{checked_contents} contents of the disk checked, {} disk operations",
         run.operations.len()
     );
-    assert!(states > 200, "{states}");
+    assert!(checked_contents > 200, "{checked_contents}");
     assert_eq!(replay.violations, Vec::<String>::new());
 }
 
@@ -229,7 +232,7 @@
     let replay = replay(&run, false, 1);
     assert!(
         !replay.violations.is_empty(),
-        "{} states and nothing was missed",
-        replay.states
+        "no violation was found in {} contents of the disk",
+        replay.checked_contents
     );
 }
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -1,4 +1,5 @@
-//! Folders of a store: whose fault it is when one can't be opened, and what is created instead.
+//! Opening the folder of a store and writing to it: which error each fault leads to, when a database is quarantined, and what
+//! is recovered.
 mod common;
 use common::{intent, key, put, recovered_entries};
 use crankpaddle_recovery::{IntentOutcome, PreviousShutdown, StoreWrite};
@@ -13,7 +14,7 @@
 /// How long a test waits for a write before it fails.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Names and contents of the folder's files, in order.
+/// The names and contents of the folder's files, sorted by name.
 fn files(dir: &Path) -> Vec<(String, Vec<u8>)> {
     let mut files: Vec<(String, Vec<u8>)> = fs::read_dir(dir)
         .unwrap()
@@ -53,7 +54,7 @@
         ])
         .unwrap();
     drop(third);
-    // Whatever the boot is: nothing was left unresolved.
+    // After a clean shutdown it does not matter whether the host was booted since, because nothing was left unresolved.
     let fourth = open("c").recovered;
     assert_eq!(
         (
@@ -70,12 +71,12 @@
     assert_eq!(
         open("c").recovered.shutdown,
         PreviousShutdown::Killed,
-        "a clean shutdown counts for one incarnation"
+        "a clean shutdown counts only for the next incarnation"
     );
 }
 
 #[test]
-fn a_folder_is_never_open_twice() {
+fn a_folder_can_not_be_opened_twice_at_a_time() {
     let dir = tempfile::tempdir().unwrap();
     let first = Store::open(dir.path(), "a").unwrap();
     assert!(matches!(
@@ -108,9 +109,11 @@
 }
 
 #[test]
-fn a_file_corrupted_at_any_byte_is_quarantined_or_completely_read() {
+fn a_corrupted_file_is_either_quarantined_or_completely_read() {
     let dir = tempfile::tempdir().unwrap();
-    let writes: Vec<StoreWrite> = (0..20).map(|n| put(n, IntentOutcome::InFlight)).collect();
+    let writes: Vec<StoreWrite> = (0..20)
+        .map(|number| put(number, IntentOutcome::InFlight))
+        .collect();
     Store::open(dir.path(), "a")
         .unwrap()
         .store
@@ -119,16 +122,17 @@
     let file = dir.path().join("front.redb");
     let intact = fs::read(&file).unwrap();
     let (mut quarantined, mut read) = (0, 0);
-    // Many places in the header, and elsewhere steps that meet each page.
-    let cuts = (0..600)
+    // Many positions in the header are corrupted, and at least one in each page elsewhere.
+    let truncations = (0..600)
         .step_by(7)
         .chain((600..intact.len()).step_by(intact.len() / 40));
-    let flips = (0..600)
+    let flipped_bytes = (0..600)
         .step_by(11)
         .chain((600..intact.len()).step_by(intact.len() / 40 + 1));
-    let corrupted = cuts.map(|n| intact[..n].to_vec()).chain(flips.map(|n| {
+    let truncated = truncations.map(|length| intact[..length].to_vec());
+    let corrupted = truncated.chain(flipped_bytes.map(|index| {
         let mut bytes = intact.clone();
-        bytes[n] ^= 0x5a;
+        bytes[index] ^= 0x5a;
         bytes
     }));
     for bytes in corrupted {
@@ -139,7 +143,7 @@
             assert_eq!(
                 fs::read(&path).unwrap(),
                 bytes,
-                "a quarantined file is unchanged"
+                "a quarantined file must not be changed"
             );
             assert_eq!(
                 (
@@ -151,7 +155,7 @@
             fs::remove_file(path).unwrap();
             quarantined += 1;
         } else if !bytes.is_empty() {
-            // Read completely, or as it was before anything was written.
+            // The state is either the last one, or the one before anything was written.
             assert!([0, 20].contains(&recovered_entries(&opened.recovered).len()));
             read += 1;
         }
@@ -182,7 +186,7 @@
     assert!(matches!(error, Error::Disk { .. }), "{error}");
 }
 
-/// Tokens and whether their writes are durable.
+/// Receives the token of each notified requester, and whether its writes are durable.
 type Notifications = mpsc::Receiver<(u64, bool)>;
 
 fn next_notification(notifications: &Notifications) -> (u64, bool) {
@@ -198,11 +202,11 @@
     (writer, notifications)
 }
 
-/// A request whose requester waits, with `n` as its token.
-fn waiting_request(n: u64) -> WriteRequest {
+/// A request whose requester waits, with `number` as its token.
+fn waiting_request(number: u64) -> WriteRequest {
     WriteRequest {
-        writes: vec![put(n, IntentOutcome::InFlight)],
-        token: Some(n),
+        writes: vec![put(number, IntentOutcome::InFlight)],
+        token: Some(number),
     }
 }
 
@@ -212,8 +216,8 @@
     let (writer, notifications) = start_writer(&disk);
     disk.slow.store(100, Ordering::Release);
     let before = disk.syncs.load(Ordering::Acquire);
-    for n in 0..200 {
-        writer.submit(waiting_request(n));
+    for number in 0..200 {
+        writer.submit(waiting_request(number));
     }
     let received: Vec<(u64, bool)> = (0..200)
         .map(|_| next_notification(&notifications))
@@ -223,10 +227,10 @@
             .iter()
             .enumerate()
             .all(|(index, notification)| *notification == (index as u64, true)),
-        "in order, each once"
+        "each requester is notified once, in order"
     );
     let syncs = disk.syncs.load(Ordering::Acquire) - before;
-    assert!(syncs < 40, "{syncs} syncs for 200 that came at once");
+    assert!(syncs < 40, "{syncs} syncs for 200 requests at once");
     writer.finish().join().unwrap();
 }
 
@@ -237,15 +241,15 @@
     writer.submit(waiting_request(1));
     assert_eq!(next_notification(&notifications), (1, true));
     disk.full.store(true, Ordering::Release);
-    for n in 2..30 {
-        writer.submit(waiting_request(n));
-        assert_eq!(next_notification(&notifications), (n, false));
+    for number in 2..30 {
+        writer.submit(waiting_request(number));
+        assert_eq!(next_notification(&notifications), (number, false));
     }
     writer.finish().join().unwrap();
 }
 
 #[test]
-fn writes_succeed_again_once_the_disk_has_space_and_reported_ones_are_kept() {
+fn writes_succeed_again_once_the_disk_has_space_and_durable_ones_are_kept() {
     let disk = Poor::new();
     let mut store = Store::open_backend(disk.clone(), "a").unwrap().store;
     store.write(&[put(1, IntentOutcome::InFlight)]).unwrap();
--- a/crates/store/tests/record_bytes.rs
+++ b/crates/store/tests/record_bytes.rs
@@ -1,5 +1,5 @@
-//! Record bytes: the exact tables, keys and values that a store writes, read from its file without the store's own code. Names in the
-//! code may change; the literals here may not.
+//! Pins the stored form: the exact tables, keys and values that a store writes, read from its file without the store's own
+//! code. Names in the code may change, but the literals of this file must not.
 mod common;
 use common::{key, put};
 use crankpaddle_recovery::{IntentOutcome, StoreWrite};
@@ -12,16 +12,16 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("a string takes all");
+        write!(text, "{byte:02x}").expect("writing to a string never fails");
         text
     })
 }
 
-/// Every entry of every table of the store's file, one text each.
+/// All entries of all tables in the store's file, each as a text.
 fn records(dir: &Path) -> Vec<String> {
-    let db = Database::create(dir.join("front.redb")).expect("opened");
-    let reading = db.begin_read().expect("a transaction");
-    let mut tables: Vec<String> = reading
+    let database = Database::create(dir.join("front.redb")).expect("opened");
+    let transaction = database.begin_read().expect("a transaction");
+    let mut tables: Vec<String> = transaction
         .list_tables()
         .expect("tables")
         .map(|table| table.name().to_owned())
@@ -30,30 +30,33 @@
     assert_eq!(tables, ["intents", "numbers", "words"]);
     let mut records = Vec::new();
     let intents: TableDefinition<(&str, &str), &[u8]> = TableDefinition::new("intents");
-    for entry in reading.open_table(intents).unwrap().iter().unwrap() {
+    for entry in transaction.open_table(intents).unwrap().iter().unwrap() {
         let (key, value) = entry.unwrap();
         records.push(format!("intents {:?} {}", key.value(), hex(value.value())));
     }
     let numbers: TableDefinition<&str, u64> = TableDefinition::new("numbers");
-    for entry in reading.open_table(numbers).unwrap().iter().unwrap() {
+    for entry in transaction.open_table(numbers).unwrap().iter().unwrap() {
         let (key, value) = entry.unwrap();
         records.push(format!("numbers {} {}", key.value(), value.value()));
     }
-    let words: TableDefinition<&str, &str> = TableDefinition::new("words");
-    for entry in reading.open_table(words).unwrap().iter().unwrap() {
+    let texts: TableDefinition<&str, &str> = TableDefinition::new("words");
+    for entry in transaction.open_table(texts).unwrap().iter().unwrap() {
         let (key, value) = entry.unwrap();
         records.push(format!("words {} {:?}", key.value(), value.value()));
     }
     records
 }
 
-/// The records after an incarnation that wrote this.
+/// The records in a new store after an incarnation made these writes.
 fn records_after(writes: &[StoreWrite]) -> Vec<String> {
     let dir = tempfile::tempdir().expect("a folder");
     let mut opened = Store::open(dir.path(), "boot-1").expect("opened");
     opened.store.write(writes).expect("written");
     drop(opened);
-    assert_eq!(fs::read(dir.path().join("VERSION")).expect("there"), b"1\n");
+    assert_eq!(
+        fs::read(dir.path().join("VERSION")).expect("a version file"),
+        b"1\n"
+    );
     records(dir.path())
 }
 
@@ -64,14 +67,14 @@
     "words boot \"boot-1\"",
 ];
 
-/// Writes, and the records that they add to those of a new store.
+/// Writes, and the records that they add to the records of a new store.
 struct Case {
     name: &'static str,
     writes: Vec<StoreWrite>,
     added: &'static [&'static str],
 }
 
-/// Writes of intents.
+/// Cases that write intents.
 fn intent_cases() -> Vec<Case> {
     vec![
         Case {
@@ -110,7 +113,7 @@
     ]
 }
 
-/// Writes of other state, and none.
+/// Cases that write other state or nothing.
 fn other_cases() -> Vec<Case> {
     vec![
         Case {
@@ -137,7 +140,7 @@
 }
 
 #[test]
-fn each_write_leaves_these_records() {
+fn each_write_leaves_the_pinned_records() {
     let cases = intent_cases().into_iter().chain(other_cases());
     for case in cases {
         let mut records = records_after(&case.writes);
--- a/crates/store/tests/samples.rs
+++ b/crates/store/tests/samples.rs
@@ -1,5 +1,7 @@
-//! Folders as released versions wrote them are completely read by this one. A sample is never rewritten: when the stored form changes,
-//! one of the new version is added beside it (`CRANKPADDLE_WRITE_SAMPLE=1 cargo test -p crankpaddle-store --test samples`).
+//! Sample folders of each version of the stored form, which this release must read completely.
+//!
+//! A sample is never rewritten. When the stored form changes, a sample of the new version is added:
+//! `CRANKPADDLE_WRITE_SAMPLE=1 cargo test -p crankpaddle-store --test samples`
 mod common;
 use common::{put, recovered_entries, Entries};
 use crankpaddle_recovery::{IntentOutcome, PreviousShutdown, StoreWrite};
@@ -17,12 +19,13 @@
 
 const UPTIME: Duration = Duration::from_millis(123_456);
 
-fn sample(version: u32) -> PathBuf {
+fn sample_dir(version: u32) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/samples/v{version}"))
 }
 
-fn writes() -> Vec<StoreWrite> {
-    let entries = (0..12).map(|n| put(n, OUTCOMES[n as usize % 4]));
+/// The writes that a sample contains.
+fn sample_writes() -> Vec<StoreWrite> {
+    let entries = (0..12).map(|number| put(number, OUTCOMES[number as usize % 4]));
     entries
         .chain([StoreWrite::FleetSize(40), StoreWrite::Uptime(UPTIME)])
         .collect()
@@ -30,13 +33,13 @@
 
 #[test]
 fn a_folder_of_version_1_is_completely_read() {
-    let sample = sample(1);
+    let sample = sample_dir(1);
     if std::env::var_os("CRANKPADDLE_WRITE_SAMPLE").is_some() && !sample.join("front.redb").exists()
     {
         Store::open(&sample, "the sample's boot")
             .unwrap()
             .store
-            .write(&writes())
+            .write(&sample_writes())
             .unwrap();
     }
     let dir = tempfile::tempdir().unwrap();
@@ -46,7 +49,7 @@
     let opened = Store::open(dir.path(), "another boot").unwrap();
     assert!(opened.quarantined.is_none());
     let mut expected = Entries::new();
-    common::apply(&mut expected, &writes());
+    common::apply(&mut expected, &sample_writes());
     assert_eq!(recovered_entries(&opened.recovered), expected);
     let recovered = opened.recovered;
     assert_eq!(
