--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -77,12 +77,12 @@
     local_health_monitor: LocalHealthMonitor,
     local_health: LocalHealth,
     last_sequence: u32,
-    digest_cursor: usize,
-    probe_at: Time,
-    gossip_at: Time,
-    sync_at: Time,
-    rejoin_at: Time,
-    budget: SendBudget,
+    digest_cursor: usize, // Where the last digest began, modulo the number of members or entries.
+    next_probe_at: Time,
+    next_gossip_at: Time,
+    next_sync_at: Time,
+    next_rejoin_at: Time,
+    send_budget: SendBudget,
     counters: Counters,
     rng: oorandom::Rand32,
 }
@@ -94,8 +94,8 @@
         let mut rng = oorandom::Rand32::new(seed);
         let digest_cursor = rng.rand_u32() as usize;
         // The delay is random so that members which start at the same time do not probe at the same time.
-        let probe_at = now + random_duration_below(&mut rng, config.probe_interval);
-        let sync_at = now + random_duration_below(&mut rng, MAX_FIRST_SYNC_DELAY);
+        let next_probe_at = now + random_duration_below(&mut rng, config.probe_interval);
+        let next_sync_at = now + random_duration_below(&mut rng, MAX_FIRST_SYNC_DELAY);
         Membership {
             started_at: now,
             participation: Participation::Active,
@@ -117,11 +117,11 @@
             local_health: LocalHealth::Alone,
             last_sequence: 0,
             digest_cursor,
-            probe_at,
-            gossip_at: Time::MAX,
-            sync_at,
-            rejoin_at: now,
-            budget: SendBudget::new(config.datagrams_per_second, config.bytes_per_second, now),
+            next_probe_at,
+            next_gossip_at: Time::MAX,
+            next_sync_at,
+            next_rejoin_at: now,
+            send_budget: SendBudget::new(config.datagrams_per_second, config.bytes_per_second, now),
             counters: Counters::default(),
             config,
             rng,
@@ -138,16 +138,21 @@
         let probe = self
             .probe
             .as_ref()
-            .map_or(self.probe_at, Probe::next_expiry);
+            .map_or(self.next_probe_at, Probe::next_expiry);
         let indirect_probes = self
             .indirect_probes
             .values()
             .map(IndirectProbe::next_expiry);
-        [probe, self.gossip_at, self.sync_at, self.rejoin_at]
-            .into_iter()
-            .chain(self.members.suspicion_deadlines())
-            .chain(indirect_probes)
-            .fold(Time::MAX, Time::min)
+        [
+            probe,
+            self.next_gossip_at,
+            self.next_sync_at,
+            self.next_rejoin_at,
+        ]
+        .into_iter()
+        .chain(self.members.suspicion_deadlines())
+        .chain(indirect_probes)
+        .fold(Time::MAX, Time::min)
     }
 
     /// Runs all timers that are due at `now`.
@@ -159,13 +164,13 @@
         self.run_probe(now, out);
         self.expire_indirect_probes(now, out);
         self.expire_suspicions(now, out);
-        if now >= self.gossip_at {
+        if now >= self.next_gossip_at {
             self.gossip(now, out);
         }
-        if now >= self.sync_at {
+        if now >= self.next_sync_at {
             self.sync(now, out);
         }
-        if now >= self.rejoin_at {
+        if now >= self.next_rejoin_at {
             self.rejoin(now, out);
         }
         self.update_local_health(now, out);
@@ -252,7 +257,7 @@
         self.local_health_monitor
             .record_stall(now + DEGRADED_INTERVALS_AFTER_STALL * interval);
         self.probe = None;
-        self.probe_at = now;
+        self.next_probe_at = now;
         self.indirect_probes.clear();
         let postponement = late_by + GRACE_INTERVALS_AFTER_STALL * interval;
         for suspicion in self.members.suspicions_mut() {
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -39,7 +39,7 @@
     /// Sends a digest of some members and entries to one member. It answers with the later versions that it knows, and requests
     /// those that it lacks.
     pub(super) fn sync(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.sync_at = now + SYNC_INTERVAL;
+        self.next_sync_at = now + SYNC_INTERVAL;
         let Some(name) = self.choose_members(1, "").pop() else {
             return;
         };
@@ -94,7 +94,7 @@
         }
         // If this member and the sender know different versions, other members probably do as well, so the next digest is sent
         // sooner.
-        self.sync_at = self.sync_at.min(now + SYNC_INTERVAL_ON_DIFFERENCE);
+        self.next_sync_at = self.next_sync_at.min(now + SYNC_INTERVAL_ON_DIFFERENCE);
         let body = Body::Pull {
             members: difference.wanted_members,
             entries: difference.wanted_entries,
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -74,7 +74,7 @@
     /// Queues an item for dissemination.
     pub(super) fn enqueue(&mut self, item: GossipItem, now: Time) {
         self.gossip_queue.push(item);
-        self.gossip_at = self.gossip_at.min(now + MAX_GOSSIP_DELAY);
+        self.next_gossip_at = self.next_gossip_at.min(now + MAX_GOSSIP_DELAY);
     }
 
     /// Queues this member's own version for dissemination.
@@ -111,7 +111,7 @@
     ) -> bool {
         let datagram = self.encode(now, to.name, message);
         let size = datagram.bytes.len();
-        if !self.budget.try_take(now, size, message.reserve) {
+        if !self.send_budget.try_take(now, size, message.reserve) {
             self.counters.over_budget += 1;
             return false;
         }
@@ -152,10 +152,10 @@
     /// Sends one round of gossip if there are updates to disseminate.
     pub(super) fn gossip(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.gossip_queue.is_empty() {
-            self.gossip_at = Time::MAX;
+            self.next_gossip_at = Time::MAX;
             return;
         }
-        self.gossip_at = now + GOSSIP_INTERVAL;
+        self.next_gossip_at = now + GOSSIP_INTERVAL;
         for name in self.choose_members(GOSSIP_FANOUT, "") {
             let message = Message::new(&Body::Gossip).with_reserve(GOSSIP_RESERVE);
             self.send_to_member(now, &name, message, out);
--- a/crates/membership/src/membership/probe.rs
+++ b/crates/membership/src/membership/probe.rs
@@ -56,15 +56,15 @@
         self.request_indirect_probes(now, out);
         if let Some(probe) = self.probe.take_if(|probe| now >= probe.ends_at) {
             self.finish_probe(now, &probe, out);
-            self.probe_at = now;
+            self.next_probe_at = now;
         }
-        if self.probe.is_none() && now >= self.probe_at {
+        if self.probe.is_none() && now >= self.next_probe_at {
             self.begin_probe(now, out);
         }
     }
 
     fn begin_probe(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.probe_at = now + self.config.probe_interval;
+        self.next_probe_at = now + self.config.probe_interval;
         let Some(target) = self.next_probe_target() else {
             return;
         };
--- a/crates/membership/src/membership/rejoin.rs
+++ b/crates/membership/src/membership/rejoin.rs
@@ -19,7 +19,7 @@
     /// After a partition each side has declared the members of the other side dead, and would never probe them again otherwise.
     /// The ping to a dead member carries the state that is known of it, so that it can refute that.
     pub(super) fn rejoin(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.rejoin_at = now + REJOIN_INTERVAL;
+        self.next_rejoin_at = now + REJOIN_INTERVAL;
         self.remove_inactive(now);
         let dead_members = self.dead_members();
         let ping = Body::Ping {
--- a/crates/membership/src/membership/tests.rs
+++ b/crates/membership/src/membership/tests.rs
@@ -61,7 +61,7 @@
 
 /// The state of the model. The numbers of actions are those that are still allowed.
 #[derive(Clone)]
-struct Fleet {
+struct FleetState {
     members: Vec<Membership>,
     running: Vec<bool>,
     network: Vec<Delivery>, // Sent datagrams. Each may be delivered never, once or more often.
@@ -72,7 +72,7 @@
     regressed: bool, // Whether some member replaced a version by an earlier one.
 }
 
-impl Fleet {
+impl FleetState {
     fn views(&self) -> Views {
         let view = |member: &Membership| {
             (0..MEMBERS)
@@ -104,7 +104,7 @@
     }
 
     /// Whether some member knows an earlier version of a member than before. A restarted member may.
-    fn has_regressed_since(&self, before: &Fleet, action: Action) -> bool {
+    fn has_regressed_since(&self, before: &FleetState, action: Action) -> bool {
         let (old, new) = (before.views(), self.views());
         let is_restarted = |observer: usize| matches!(action, Action::Restart { member, .. } if member == observer);
         (0..MEMBERS)
@@ -143,9 +143,9 @@
     }
 }
 
-impl PartialEq for Fleet {
-    fn eq(&self, other: &Fleet) -> bool {
-        let remaining_fields = |fleet: &Fleet| {
+impl PartialEq for FleetState {
+    fn eq(&self, other: &FleetState) -> bool {
+        let remaining_fields = |fleet: &FleetState| {
             (
                 fleet.gossips,
                 fleet.accusations,
@@ -161,7 +161,7 @@
     }
 }
 
-impl Hash for Fleet {
+impl Hash for FleetState {
     fn hash<H: Hasher>(&self, state: &mut H) {
         (
             &self.running,
@@ -176,7 +176,7 @@
     }
 }
 
-impl std::fmt::Debug for Fleet {
+impl std::fmt::Debug for FleetState {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "running {:?}, views {:?}", self.running, self.views())
     }
@@ -206,19 +206,19 @@
 }
 
 /// The maximum number of actions of each kind in one run of the model.
-struct Bounds {
+struct FleetModel {
     gossips: u8,
     accusations: u8,
     restarts: u8,
     leaves: u8,
 }
 
-impl Model for Bounds {
-    type State = Fleet;
+impl Model for FleetModel {
+    type State = FleetState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<Fleet> {
-        let mut fleet = Fleet {
+    fn init_states(&self) -> Vec<FleetState> {
+        let mut fleet = FleetState {
             members: (0..MEMBERS)
                 .map(|member| start(member, 10, member as u64))
                 .collect(),
@@ -239,7 +239,7 @@
         vec![fleet]
     }
 
-    fn actions(&self, fleet: &Fleet, actions: &mut Vec<Action>) {
+    fn actions(&self, fleet: &FleetState, actions: &mut Vec<Action>) {
         for member in (0..MEMBERS).filter(|member| fleet.running[*member]) {
             for other in (0..MEMBERS).filter(|other| *other != member) {
                 if fleet.gossips > 0 {
@@ -272,7 +272,7 @@
         actions.extend((0..fleet.network.len()).map(|index| Action::Deliver { index }));
     }
 
-    fn next_state(&self, before: &Fleet, action: Action) -> Option<Fleet> {
+    fn next_state(&self, before: &FleetState, action: Action) -> Option<FleetState> {
         let mut fleet = before.clone();
         match action {
             Action::Gossip { from, to } => {
@@ -307,15 +307,15 @@
         (fleet != *before).then_some(fleet)
     }
 
-    fn properties(&self) -> Vec<Property<Bounds>> {
+    fn properties(&self) -> Vec<Property<FleetModel>> {
         vec![
             Property::always(
                 "no member replaces a version by an earlier one",
-                |_, fleet: &Fleet| !fleet.regressed,
+                |_, fleet: &FleetState| !fleet.regressed,
             ),
             Property::always(
                 "delayed gossip does not bring back a member that left",
-                |_, fleet: &Fleet| {
+                |_, fleet: &FleetState| {
                     // No member may know a later version of a stopped member's incarnation than that member had itself.
                     let views = fleet.views();
                     let mut stopped_members = (0..MEMBERS).filter(|member| !fleet.running[*member]);
@@ -335,15 +335,15 @@
             ),
             Property::always(
                 "once the network has healed, all running members see each other as alive",
-                |_, fleet: &Fleet| fleet.agrees_once_healed(),
+                |_, fleet: &FleetState| fleet.agrees_once_healed(),
             ),
         ]
     }
 }
 
-fn check_model(bounds: Bounds, min_states: usize) {
+fn check_model(model: FleetModel, min_states: usize) {
     let started = std::time::Instant::now();
-    let checker = bounds.checker().threads(4).spawn_bfs().join();
+    let checker = model.checker().threads(4).spawn_bfs().join();
     eprintln!(
         "{} states, {} of them unique, in {:?}",
         checker.state_count(),
@@ -360,7 +360,7 @@
 #[test]
 fn members_agree_after_false_accusations_reordered_gossip_and_a_leave() {
     check_model(
-        Bounds {
+        FleetModel {
             gossips: 2,
             accusations: 2,
             restarts: 0,
@@ -373,7 +373,7 @@
 #[test]
 fn members_agree_after_a_restart_even_if_the_wall_clock_was_set_back() {
     check_model(
-        Bounds {
+        FleetModel {
             gossips: 3,
             accusations: 1,
             restarts: 1,
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -66,7 +66,7 @@
             took.is_some_and(|duration| duration <= 40 * SECOND),
             "seed {seed}: {took:?}"
         );
-        let wrong: Vec<_> = network
+        let false_accusations: Vec<_> = network
             .accusations(from)
             .into_iter()
             .filter(|accusation| {
@@ -75,7 +75,10 @@
                     .any(|front| front_name(*front) == accusation.accused)
             })
             .collect();
-        assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
+        assert!(
+            false_accusations.is_empty(),
+            "seed {seed}: {false_accusations:?}"
+        );
     }
 }
 
@@ -220,12 +223,12 @@
     network.conditions.link_filter = Box::new(|link| link.from != 3);
     network.run(60 * SECOND);
     assert!(network.all_see(&[0, 1, 2, 4, 5], &[3], MemberState::Dead));
-    let wrong: Vec<_> = network
+    let false_accusations: Vec<_> = network
         .accusations(from)
         .into_iter()
         .filter(|accusation| accusation.by == 3 || accusation.accused != front_name(3))
         .collect();
-    assert!(wrong.is_empty(), "{wrong:?}");
+    assert!(false_accusations.is_empty(), "{false_accusations:?}");
     assert_eq!(
         network.nodes[3].membership.local_health(),
         LocalHealth::Isolated
@@ -255,10 +258,7 @@
         for datagram in old_datagrams.clone() {
             network.transmit(datagram);
         }
-        let others: Vec<usize> = first_fronts(12)
-            .into_iter()
-            .filter(|front| *front != 7)
-            .collect();
+        let others: Vec<usize> = (0..12).filter(|front| *front != 7).collect();
         let took = network.advance_until(20 * SECOND, |network| {
             let sees_restart = |front: &usize| {
                 network.changes.iter().any(|record| {
@@ -304,10 +304,7 @@
     network.is_capturing = false;
     network.with_member(4, Membership::leave);
     network.kill(4);
-    let others: Vec<usize> = first_fronts(20)
-        .into_iter()
-        .filter(|front| *front != 4)
-        .collect();
+    let others: Vec<usize> = (0..20).filter(|front| *front != 4).collect();
     let took = network.advance_until(20 * SECOND, |network| {
         network.all_see(&others, &[4], MemberState::Left)
     });
@@ -444,7 +441,7 @@
         }
     }
     network.run(SECOND / 2);
-    let all_have_true_entry = |network: &SimulatedNetwork| {
+    let is_restored = |network: &SimulatedNetwork| {
         (0..10).all(|front| {
             network.nodes[front]
                 .membership
@@ -453,9 +450,7 @@
         })
     };
     assert!(
-        network
-            .advance_until(30 * SECOND, all_have_true_entry)
-            .is_some(),
+        network.advance_until(30 * SECOND, is_restored).is_some(),
         "the owner's entry prevails"
     );
     assert!(
--- a/crates/recovery/tests/crash/model.rs
+++ b/crates/recovery/tests/crash/model.rs
@@ -16,7 +16,7 @@
 
 /// The state of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
-pub(crate) struct State {
+pub(crate) struct SystemState {
     disk: BTreeMap<Key, Intent>,
     /// Writes that are not synced to disk yet, in order.
     unsynced: Vec<StoreWrite>,
@@ -72,7 +72,7 @@
     names.iter().cloned().map(action).collect()
 }
 
-impl State {
+impl SystemState {
     fn persist(&mut self, write: &StoreWrite) {
         match write {
             StoreWrite::Put(key, intent) => {
@@ -248,7 +248,7 @@
 }
 
 impl PowerLossModel {
-    fn actions_without_power(&self, state: &State, actions: &mut Vec<Action>) {
+    fn actions_without_power(&self, state: &SystemState, actions: &mut Vec<Action>) {
         actions.push(Action::Start);
         // If the disk is lost while a set-up is in transit, neither the front nor its server knows of that set-up. The front
         // does not guard against this fault, as docs/power.md states, so the model loses the disk only while no set-up is in
@@ -261,7 +261,7 @@
         }
     }
 
-    fn actions_with_power(&self, state: &State, front: &Front, actions: &mut Vec<Action>) {
+    fn actions_with_power(&self, state: &SystemState, front: &Front, actions: &mut Vec<Action>) {
         if front.can_begin_attempt() && state.attempts_begun < MAX_ATTEMPTS {
             actions.push(Action::OpenSession);
         }
@@ -296,14 +296,14 @@
 }
 
 impl Model for PowerLossModel {
-    type State = State;
+    type State = SystemState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<State> {
-        vec![State::default()]
+    fn init_states(&self) -> Vec<SystemState> {
+        vec![SystemState::default()]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+    fn actions(&self, state: &SystemState, actions: &mut Vec<Action>) {
         actions.extend(action_for_each(
             &state.set_ups_in_transit,
             Action::SetUpArrives,
@@ -315,14 +315,14 @@
         }
     }
 
-    fn next_state(&self, state: &State, action: Action) -> Option<State> {
+    fn next_state(&self, state: &SystemState, action: Action) -> Option<SystemState> {
         let mut next = state.clone();
         next.apply(action, self.guards)?;
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always(SOLD_ONCE, |_, state: &State| {
+        vec![Property::always(SOLD_ONCE, |_, state: &SystemState| {
             state.sold <= 1
         })]
     }
--- a/crates/store/src/open.rs
+++ b/crates/store/src/open.rs
@@ -74,7 +74,7 @@
         let path = dir.join(DATABASE_FILE_NAME);
         let opener: DatabaseOpener = Box::new(move |builder| builder.create(&path));
         let (loaded, corrupted) = load_or_replace(dir, &opener)?;
-        begin(dir, opener, loaded, boot_id, corrupted.or(unversioned))
+        begin_incarnation(dir, opener, loaded, boot_id, corrupted.or(unversioned))
     }
 
     /// Opens a store on any storage backend. Tests use this to observe the operations of a disk, delay them or make them fail.
@@ -89,7 +89,7 @@
         let opener: DatabaseOpener =
             Box::new(move |builder| builder.create_with_backend(backend.clone()));
         let loaded = database::load(dir, &opener)?;
-        begin(dir, opener, loaded, boot_id, None)
+        begin_incarnation(dir, opener, loaded, boot_id, None)
     }
 
     /// Writes all or nothing. The writes are durable once it returns. After a failed call the next one reopens the database.
@@ -167,7 +167,7 @@
 }
 
 /// Begins an incarnation of the front on a loaded database.
-fn begin(
+fn begin_incarnation(
     dir: &Path,
     opener: DatabaseOpener,
     loaded: LoadedDatabase,
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -122,13 +122,13 @@
         let mut intents = transaction.open_table(INTENTS)?;
         let mut numbers = transaction.open_table(NUMBERS)?;
         for write in writes {
-            apply(write, &mut intents, &mut numbers)?;
+            apply_write(write, &mut intents, &mut numbers)?;
         }
     }
     Ok(transaction.commit()?)
 }
 
-fn apply(
+fn apply_write(
     write: &StoreWrite,
     intents: &mut Table<(&'static str, &'static str), &'static [u8]>,
     numbers: &mut Table<&'static str, u64>,
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -28,7 +28,7 @@
     }
 }
 
-pub(crate) fn put(number: u64, outcome: IntentOutcome) -> StoreWrite {
+pub(crate) fn put_intent(number: u64, outcome: IntentOutcome) -> StoreWrite {
     StoreWrite::Put(key(number), intent(number, outcome))
 }
 
@@ -40,7 +40,7 @@
 }
 
 /// Applies writes to entries in the way in which a store does.
-pub(crate) fn apply(entries: &mut Entries, writes: &[StoreWrite]) {
+pub(crate) fn apply_writes(entries: &mut Entries, writes: &[StoreWrite]) {
     for write in writes {
         match write {
             StoreWrite::Put(key, intent) => {
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -4,7 +4,7 @@
 //! persisted as well. In each case a store that is opened on the disk must contain the result of one commit, and it must not be
 //! older than the last commit that was reported as durable.
 mod common;
-use common::{apply, intent, key, overwrite, put, recovered_entries};
+use common::{apply_writes, intent, key, overwrite, put_intent, recovered_entries};
 use common::{DiskOperation, Entries, RecordingDisk};
 use crankpaddle_recovery::{IntentOutcome, StoreWrite};
 use crankpaddle_store::Store;
@@ -33,7 +33,7 @@
 /// The writes of one commit of a front: an intent, the outcome of the previous one, and in every third commit the removal of an
 /// earlier one.
 fn writes_of_commit(number: u64) -> Vec<StoreWrite> {
-    let mut writes = vec![put(number, IntentOutcome::InFlight)];
+    let mut writes = vec![put_intent(number, IntentOutcome::InFlight)];
     if number > 0 {
         writes.push(StoreWrite::Put(
             key(number - 1),
@@ -57,7 +57,7 @@
     for number in 0..commit_count {
         let writes = writes_of_commit(number);
         store.write(&writes).unwrap();
-        apply(&mut entries, &writes);
+        apply_writes(&mut entries, &writes);
         commits.push(Commit {
             operation_count: disk.operation_count(),
             entries: entries.clone(),
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -1,7 +1,7 @@
 //! Opening the folder of a store and writing to it: which error each fault leads to, when a database is quarantined, and what
 //! is recovered.
 mod common;
-use common::{intent, key, put, recovered_entries};
+use common::{intent, key, put_intent, recovered_entries};
 use crankpaddle_recovery::{IntentOutcome, PreviousShutdown, StoreWrite};
 use crankpaddle_store::{Error, QuarantinedFile, Store, StoreWriter, WriteRequest};
 use crankpaddle_testbed::disk::Poor;
@@ -47,7 +47,7 @@
     third
         .store
         .write(&[
-            put(1, IntentOutcome::InFlight),
+            put_intent(1, IntentOutcome::InFlight),
             StoreWrite::FleetSize(40),
             StoreWrite::Uptime(Duration::from_millis(77)),
             StoreWrite::CleanShutdown,
@@ -93,7 +93,7 @@
     Store::open(dir.path(), "a")
         .unwrap()
         .store
-        .write(&[put(1, IntentOutcome::InFlight)])
+        .write(&[put_intent(1, IntentOutcome::InFlight)])
         .unwrap();
     fs::write(dir.path().join("VERSION"), "2\n").unwrap();
     let before = files(dir.path());
@@ -112,7 +112,7 @@
 fn a_corrupted_file_is_either_quarantined_or_completely_read() {
     let dir = tempfile::tempdir().unwrap();
     let writes: Vec<StoreWrite> = (0..20)
-        .map(|number| put(number, IntentOutcome::InFlight))
+        .map(|number| put_intent(number, IntentOutcome::InFlight))
         .collect();
     Store::open(dir.path(), "a")
         .unwrap()
@@ -123,13 +123,13 @@
     let intact = fs::read(&file).unwrap();
     let (mut quarantined, mut read) = (0, 0);
     // Many positions in the header are corrupted, and at least one in each page elsewhere.
-    let truncations = (0..600)
+    let lengths = (0..600)
         .step_by(7)
         .chain((600..intact.len()).step_by(intact.len() / 40));
     let flipped_bytes = (0..600)
         .step_by(11)
         .chain((600..intact.len()).step_by(intact.len() / 40 + 1));
-    let truncated = truncations.map(|length| intact[..length].to_vec());
+    let truncated = lengths.map(|length| intact[..length].to_vec());
     let corrupted = truncated.chain(flipped_bytes.map(|index| {
         let mut bytes = intact.clone();
         bytes[index] ^= 0x5a;
@@ -205,7 +205,7 @@
 /// A request whose requester waits, with `number` as its token.
 fn waiting_request(number: u64) -> WriteRequest {
     WriteRequest {
-        writes: vec![put(number, IntentOutcome::InFlight)],
+        writes: vec![put_intent(number, IntentOutcome::InFlight)],
         token: Some(number),
     }
 }
@@ -252,16 +252,20 @@
 fn writes_succeed_again_once_the_disk_has_space_and_durable_ones_are_kept() {
     let disk = Poor::new();
     let mut store = Store::open_backend(disk.clone(), "a").unwrap().store;
-    store.write(&[put(1, IntentOutcome::InFlight)]).unwrap();
+    store
+        .write(&[put_intent(1, IntentOutcome::InFlight)])
+        .unwrap();
     disk.full.store(true, Ordering::Release);
     for _ in 0..3 {
         assert!(matches!(
-            store.write(&[put(2, IntentOutcome::InFlight)]),
+            store.write(&[put_intent(2, IntentOutcome::InFlight)]),
             Err(Error::Disk { .. })
         ));
     }
     disk.full.store(false, Ordering::Release);
-    store.write(&[put(3, IntentOutcome::InFlight)]).unwrap();
+    store
+        .write(&[put_intent(3, IntentOutcome::InFlight)])
+        .unwrap();
     drop(store);
     let entries = recovered_entries(&Store::open_backend(disk, "a").unwrap().recovered);
     assert!(
--- a/crates/store/tests/record_bytes.rs
+++ b/crates/store/tests/record_bytes.rs
@@ -1,7 +1,7 @@
 //! Pins the stored form: the exact tables, keys and values that a store writes, read from its file without the store's own
 //! code. Names in the code may change, but the literals of this file must not.
 mod common;
-use common::{key, put};
+use common::{key, put_intent};
 use crankpaddle_recovery::{IntentOutcome, StoreWrite};
 use crankpaddle_store::Store;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
@@ -79,35 +79,38 @@
     vec![
         Case {
             name: "attempt in flight",
-            writes: vec![put(0, IntentOutcome::InFlight)],
+            writes: vec![put_intent(0, IntentOutcome::InFlight)],
             added: &[
                 r#"intents ("t0", "00000000000000000000000000000000") 0d6c6963656e7365642d766965770012303030303030303030303030303030302d3001310000"#,
             ],
         },
         Case {
             name: "established",
-            writes: vec![put(1, IntentOutcome::Established)],
+            writes: vec![put_intent(1, IntentOutcome::Established)],
             added: &[
                 r#"intents ("t1", "00000000000000000000000000000001") 0d6c6963656e7365642d766965770112303030303030303030303030303030312d3101310101"#,
             ],
         },
         Case {
             name: "completed",
-            writes: vec![put(300, IntentOutcome::Completed)],
+            writes: vec![put_intent(300, IntentOutcome::Completed)],
             added: &[
                 r#"intents ("t0", "0000000000000000000000000000012c") 0d6c6963656e7365642d766965770014303030303030303030303030303132632d313263013102ac02"#,
             ],
         },
         Case {
             name: "failed",
-            writes: vec![put(70_000, IntentOutcome::Failed)],
+            writes: vec![put_intent(70_000, IntentOutcome::Failed)],
             added: &[
                 r#"intents ("t1", "00000000000000000000000000011170") 0d6c6963656e7365642d766965770416303030303030303030303031313137302d3131313730013103f0a204"#,
             ],
         },
         Case {
             name: "removed",
-            writes: vec![put(1, IntentOutcome::InFlight), StoreWrite::Remove(key(1))],
+            writes: vec![
+                put_intent(1, IntentOutcome::InFlight),
+                StoreWrite::Remove(key(1)),
+            ],
             added: &[],
         },
     ]
--- a/crates/store/tests/samples.rs
+++ b/crates/store/tests/samples.rs
@@ -3,7 +3,7 @@
 //! A sample is never rewritten. When the stored form changes, a sample of the new version is added:
 //! `CRANKPADDLE_WRITE_SAMPLE=1 cargo test -p crankpaddle-store --test samples`
 mod common;
-use common::{put, recovered_entries, Entries};
+use common::{put_intent, recovered_entries, Entries};
 use crankpaddle_recovery::{IntentOutcome, PreviousShutdown, StoreWrite};
 use crankpaddle_store::Store;
 use std::fs;
@@ -25,7 +25,7 @@
 
 /// The writes that a sample contains.
 fn sample_writes() -> Vec<StoreWrite> {
-    let entries = (0..12).map(|number| put(number, OUTCOMES[number as usize % 4]));
+    let entries = (0..12).map(|number| put_intent(number, OUTCOMES[number as usize % 4]));
     entries
         .chain([StoreWrite::FleetSize(40), StoreWrite::Uptime(UPTIME)])
         .collect()
@@ -49,7 +49,7 @@
     let opened = Store::open(dir.path(), "another boot").unwrap();
     assert!(opened.quarantined.is_none());
     let mut expected = Entries::new();
-    common::apply(&mut expected, &sample_writes());
+    common::apply_writes(&mut expected, &sample_writes());
     assert_eq!(recovered_entries(&opened.recovered), expected);
     let recovered = opened.recovered;
     assert_eq!(
