--- a/crates/recovery/src/intents.rs
+++ b/crates/recovery/src/intents.rs
@@ -110,7 +110,7 @@
     Established,
     /// The attempt never ran.
     NeverRan,
-    /// The session has ended, or the attempt was never established and may have run.
+    /// The session has ended, or the attempt was not established and may have run.
     Ended,
 }
 
--- a/crates/recovery/src/power_loss_policy.rs
+++ b/crates/recovery/src/power_loss_policy.rs
@@ -83,7 +83,7 @@
 
     /// The reason for the policy, or how the state is used. The table in docs/power.md contains the same text.
     #[must_use]
-    pub const fn why(self) -> &'static str {
+    pub const fn rationale(self) -> &'static str {
         match self {
             StateKind::Intent => {
                 "it was on disk before the first byte was sent; its server is asked whether it ran"
--- a/crates/recovery/src/power_loss_policy/tests.rs
+++ b/crates/recovery/src/power_loss_policy/tests.rs
@@ -15,7 +15,7 @@
             PowerLossPolicy::Conservative => "conservative",
             PowerLossPolicy::Discarded => "discarded",
         };
-        let row = format!("| {kind:?} | {policy} | {} |", kind.why());
+        let row = format!("| {kind:?} | {policy} | {} |", kind.rationale());
         assert!(page.contains(&row), "docs/power.md lacks: {row}");
     }
 }
--- a/crates/recovery/src/stages.rs
+++ b/crates/recovery/src/stages.rs
@@ -24,7 +24,7 @@
     Reconciling,
     /// Only paid classes are served.
     PaidOnly,
-    /// All classes are served; the fleet may still be warming up and smaller than before.
+    /// All classes are served, but the fleet may still be warming up and be smaller than before.
     AllClasses,
     /// Recovery has ended, and all classes are served without restriction.
     Normal,
--- a/crates/recovery/src/stages/tests.rs
+++ b/crates/recovery/src/stages/tests.rs
@@ -8,7 +8,7 @@
     warm_up_duration: Duration::from_nanos(1000),
 };
 
-/// A recovery after a power loss that has reached this stage.
+/// A recovery after a power loss that has reached this stage, which is reconciling or paid-only.
 fn recovery_in(stage: RecoveryStage) -> StagedRecovery {
     let mut recovery = StagedRecovery::new(TIMEOUTS, Time(0));
     recovery.start_reading(Time(1));
--- a/crates/store/src/open.rs
+++ b/crates/store/src/open.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// The result of opening a folder.
+/// An opened store with the state that was found in it.
 #[derive(Debug)]
 pub struct OpenedStore {
     /// The open store, in which the new incarnation has begun.
