--- a/crates/cli/src/front.rs
+++ b/crates/cli/src/front.rs
@@ -23,13 +23,13 @@
     }
 }
 
-/// Why a configuration was not applied.
+/// Why a reloaded configuration was not applied.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     /// The file can't be read or has problems.
     #[error(transparent)]
-    Load(#[from] crankpaddle_config::Error),
-    /// A setting other than the budgets differs.
+    Load(#[from] crankpaddle_config::LoadError),
+    /// A setting other than the budgets changed, which needs a restart.
     #[error(transparent)]
     Change(#[from] BudgetChangeError),
 }
@@ -40,18 +40,18 @@
     Ok(())
 }
 
-/// Applies the file's budgets, or logs why those in force stay.
+/// Applies the budgets of the file, or logs why the current ones stay in force.
 fn reload(daemon: &Daemon, path: &Path) {
     let file = path.display();
     match apply_budgets(daemon, path) {
         Ok(()) => {
-            tracing::info!(path = %file, "reloaded: budgets; all else waits for a restart");
+            tracing::info!(path = %file, "reloaded: traffic budgets; other settings need a restart");
         }
         Err(error) => tracing::error!(path = %file, reason = %error, "not reloaded"),
     }
 }
 
-/// Runs until SIGTERM or SIGINT and the graceful shutdown that follows.
+/// Runs a front until SIGTERM or SIGINT, and then until its graceful shutdown is complete.
 ///
 /// # Errors
 ///
--- a/crates/config/build.rs
+++ b/crates/config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema without protoc: descriptors for the text format, types for the checked form.
+//! Compiles the schema without protoc into descriptors for the text format parser and into Rust types.
 use prost::Message;
 use std::{env, fs, path::PathBuf};
 
--- a/crates/config/src/check/budgets.rs
+++ b/crates/config/src/check/budgets.rs
@@ -1,4 +1,4 @@
-//! The sections `budget`: limits of the traffic between zones.
+//! Checks the sections `budget`, which limit the traffic between zones.
 use super::front::Zones;
 use super::ConfigChecker;
 use crate::schema;
@@ -7,7 +7,8 @@
 use crankpaddle_textproto::Unit;
 use std::collections::HashMap;
 
-/// The traffic that a budget limits, as indices; `None` for an unknown zone, and for all classes.
+/// The traffic that a budget limits. `from` and `to` are zone indices, `None` if the zone is unknown. `class` is a class
+/// index, `None` if the budget applies to all classes that have no budget of their own.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct BudgetScope {
     from: Option<usize>,
@@ -16,7 +17,7 @@
 }
 
 impl ConfigChecker<'_, '_> {
-    /// The budgets for traffic to the front's own zone; all others are checked too.
+    /// Checks all budgets; returns those for traffic to the front's own zone.
     pub(super) fn budgets(
         &mut self,
         budgets: &[schema::Budget],
@@ -28,9 +29,10 @@
         for (index, budget) in budgets.iter().enumerate() {
             let scope = self.budget_scope(index, budget, zones, classes);
             if let Some(first) = first_uses.insert(scope, index) {
-                let what =
-                    format!("the same zones and class as budget[{first}]; a budget stands once");
-                self.wrong(&format!("budget[{index}].from"), what);
+                let message = format!(
+                    "has the same zones and class as budget[{first}]; allowed: one budget for each"
+                );
+                self.wrong(&format!("budget[{index}].from"), message);
             }
             let shared = self.shared_budget(index, budget);
             let Some(from) = scope.from else {
@@ -60,13 +62,13 @@
         self.must(
             from.is_none() || from != to,
             &path("to"),
-            "is the zone that it comes from: only what crosses has a budget",
+            "is the same zone as from; allowed: another zone",
         );
         let class = classes.iter().position(|class| *class == budget.class);
         if class.is_none() && !budget.class.is_empty() {
             let known = classes.join(", ");
-            let what = format!("{:?} is not a class: {known}", budget.class);
-            self.wrong(&path("class"), what);
+            let message = format!("{:?} is not a class: {known}", budget.class);
+            self.wrong(&path("class"), message);
         }
         BudgetScope { from, to, class }
     }
@@ -74,7 +76,7 @@
     fn shared_budget(&mut self, index: usize, budget: &schema::Budget) -> SharedBudget {
         let path = |field: &str| format!("budget[{index}].{field}");
         let has_volume = !budget.volume.is_empty() || !budget.period.is_empty();
-        // A rate of zero forbids the traffic.
+        // A rate of zero is allowed: it forbids all traffic except that of paid classes.
         let rate_kb = self.measure(&path("rate"), &budget.rate, Unit::Rate, 0.0);
         let burst_bytes = self.measure(&path("burst"), &budget.burst, Unit::Size, 1.0);
         let mut volume_bytes = f64::INFINITY;
--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -1,20 +1,20 @@
-//! The sections `class`: what viewers of a class want and may do.
-use super::ladder::Ladder;
+//! Checks the sections `class`: the objectives and limits of each class of viewers.
+use super::ladder::LadderSettings;
 use super::ConfigChecker;
 use crate::schema;
 use crankpaddle::{Class, Idempotency, RetryScope};
 use std::time::Duration;
 
-/// The classes in the order of their numbers.
+/// The classes, indexed by class number.
 pub(super) struct Classes {
     pub(super) names: Vec<String>,
     pub(super) classes: Vec<Class>,
-    /// How long a viewer of each class waits for an answer at most.
+    /// Maximum time that a viewer of each class waits for an answer.
     pub(super) max_wait: Vec<Duration>,
 }
 
 impl ConfigChecker<'_, '_> {
-    pub(super) fn classes(&mut self, raw: &[schema::Class], ladder: &Ladder) -> Classes {
+    pub(super) fn classes(&mut self, raw: &[schema::Class], ladder: &LadderSettings) -> Classes {
         let names: Vec<&str> = raw.iter().map(|class| class.name.as_str()).collect();
         let names = self.names("class", ".name", &names);
         let mut classes = Vec::with_capacity(raw.len());
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Whether set-ups of the class may be retried, and within which time, nanoseconds (0: not bounded).
+    /// Returns whether set-ups of the class may be retried, and the time in nanoseconds within which they may be; zero if it
+    /// is not bounded.
     fn idempotency(&mut self, index: usize, class: &schema::Class) -> (Idempotency, u64) {
         match class.effect() {
             schema::Effect::Free => (Idempotency::Idempotent, 0),
@@ -64,7 +65,7 @@
             }
             schema::Effect::Unspecified => {
                 let path = format!("class[{index}].effect");
-                self.wrong(&path, "is missing: FREE, GUARDED or PAID");
+                self.wrong(&path, "is missing; allowed: FREE, GUARDED, PAID");
                 (Idempotency::AtMostOnce, 0)
             }
         }
@@ -81,7 +82,7 @@
         self.must(
             max_wait >= latency_objective || class.give_up().is_empty(),
             &path,
-            "is under aim: viewers would give up before the wanted bound",
+            "is under aim: viewers would stop waiting before the latency objective",
         );
         max_wait
     }
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -1,13 +1,13 @@
-//! The section `fleet`: the servers' kinds, cells, racks and links.
+//! Checks the section `fleet`: the kinds, cells, racks and links of the servers.
 use super::ConfigChecker;
 use crate::schema;
 
 const MAX_STREAMS_PER_SERVER: u32 = 1_000_000;
-/// Cells and racks are numbered by two bytes.
-const MAX_GROUPS: u32 = 65_535;
+/// Cells and racks have 16-bit numbers.
+const MAX_CELLS_OR_RACKS: u32 = 65_535;
 
-/// The fleet's values. Rates in kB a second, times in nanoseconds.
-pub(super) struct Fleet {
+/// The checked section. Rates are in kB per second, times in nanoseconds.
+pub(super) struct FleetSettings {
     pub(super) kinds: Vec<String>,
     pub(super) stream_capacity: Vec<u32>,
     pub(super) cells: u32,
@@ -22,12 +22,12 @@
 }
 
 impl ConfigChecker<'_, '_> {
-    pub(super) fn fleet(&mut self, fleet: &schema::Fleet) -> Fleet {
-        Fleet {
+    pub(super) fn fleet(&mut self, fleet: &schema::Fleet) -> FleetSettings {
+        FleetSettings {
             kinds: self.kinds(&fleet.kind),
             stream_capacity: self.stream_capacity(&fleet.kind),
-            cells: self.count("fleet.cells", fleet.cells(), 1, MAX_GROUPS),
-            racks: self.count("fleet.racks", fleet.racks(), 1, MAX_GROUPS),
+            cells: self.count("fleet.cells", fleet.cells(), 1, MAX_CELLS_OR_RACKS),
+            racks: self.count("fleet.racks", fleet.racks(), 1, MAX_CELLS_OR_RACKS),
             fleet_link_kb: self.rate("fleet.links", &fleet.links),
             link_kb: self.rate("fleet.link", &fleet.link),
             uplink_kb: self.rate("fleet.uplink", &fleet.uplink),
@@ -49,12 +49,12 @@
         self.must(
             !names.is_empty(),
             "fleet.kind",
-            "is missing: one kind at least",
+            "is missing; allowed: one or more kinds",
         );
         names
     }
 
-    /// Streams that a server of each kind can carry.
+    /// Returns the maximum number of streams on a server of each kind.
     fn stream_capacity(&mut self, kinds: &[schema::Kind]) -> Vec<u32> {
         let mut capacities = Vec::with_capacity(kinds.len());
         for (i, kind) in kinds.iter().enumerate() {
--- a/crates/config/src/check/front.rs
+++ b/crates/config/src/check/front.rs
@@ -1,26 +1,26 @@
-//! The section `front`: which replica this is, its zone, addresses and files.
+//! Checks the section `front`: the front's replica index, zone, addresses and files.
 use super::ConfigChecker;
 use crate::schema;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 const MAX_REPLICAS: u32 = 1_000_000;
-/// Zones are numbered by one byte.
+/// Zones have 8-bit numbers.
 const MAX_ZONES: usize = 255;
 
-/// Which of the fleet's fronts this is.
+/// The front's index among the fleet's replicas, and their number.
 pub(super) struct Replica {
     pub(super) index: u32,
     pub(super) count: u32,
 }
 
-/// The zones by name, and the index of the front's own.
+/// The names of all zones, and the index of the front's own zone.
 pub(super) struct Zones {
     pub(super) names: Vec<String>,
     pub(super) own: usize,
 }
 
-/// The front's addresses and files.
+/// The front's addresses and files, its seed and its number of worker threads.
 pub(super) struct FrontOptions {
     pub(super) listen: SocketAddr,
     pub(super) list_service: SocketAddr,
@@ -36,8 +36,8 @@
         let index = front.index;
         if index >= count {
             let last = count - 1;
-            let what = format!("is {index}; allowed: 0 to {last}, under front.siblings");
-            self.wrong("front.index", what);
+            let message = format!("is {index}; allowed: 0 to {last}, under front.siblings");
+            self.wrong("front.index", message);
         }
         Replica { index, count }
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The index of a zone; `None` where the name is unknown, which is reported.
+    /// Returns the index of a zone. An unknown name is reported and gives `None`.
     pub(super) fn zone_index(&mut self, zones: &[String], path: &str, name: &str) -> Option<usize> {
         let index = zones.iter().position(|zone| zone == name);
         if index.is_none() {
--- a/crates/config/src/check/ladder.rs
+++ b/crates/config/src/check/ladder.rs
@@ -1,29 +1,29 @@
-//! The section `ladder`: the rungs and what changing them costs.
+//! Checks the section `ladder`: the rungs and the cost of changing between them.
 use super::ConfigChecker;
 use crate::schema;
 
 const MAX_RUNGS: usize = 64;
-/// The least utility of a rung: it must be above zero.
+/// Minimum utility of a rung. Utilities must be above zero.
 const MIN_UTILITY: f64 = 1e-9;
 
-/// The ladder's values.
-pub(super) struct Ladder {
-    /// Rate of each rung, kB a second.
+/// The checked section.
+pub(super) struct LadderSettings {
+    /// Rate of each rung in kB per second, lowest first.
     pub(super) rung_kb: Vec<f64>,
     pub(super) rung_utility: Vec<f64>,
     pub(super) shortfall_cost: f64,
     pub(super) rung_change_cost_seconds: f64,
 }
 
-impl Ladder {
-    /// The number of rungs, one if none is configured.
+impl LadderSettings {
+    /// The number of rungs; one if none is configured, so that the highest rung always has an index.
     pub(super) fn rung_count(&self) -> u32 {
         self.rung_kb.len().max(1) as u32
     }
 }
 
 impl ConfigChecker<'_, '_> {
-    pub(super) fn ladder(&mut self, ladder: &schema::Ladder) -> Ladder {
+    pub(super) fn ladder(&mut self, ladder: &schema::Ladder) -> LadderSettings {
         self.must(
             (1..=MAX_RUNGS).contains(&ladder.rung.len()),
             "ladder.rung",
@@ -39,19 +39,19 @@
             self.must(
                 rises(&rung_kb, rate),
                 &rate_path,
-                "does not rise: each rung's rate is over the one before",
+                "does not rise; allowed: more than the rate of the rung before",
             );
             self.must(
                 rises(&rung_utility, utility),
                 &utility_path,
-                "does not rise: each rung earns more than the one before",
+                "does not rise; allowed: more than the worth of the rung before",
             );
             rung_kb.push(rate);
             rung_utility.push(utility);
         }
         let shortfall_cost = ladder.shortfall_cost();
         let switch_seconds = ladder.switch_seconds();
-        Ladder {
+        LadderSettings {
             rung_kb,
             rung_utility,
             shortfall_cost: self.within("ladder.shortfall_cost", shortfall_cost, 0.0, 100.0),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Whether the next value is above the last one.
+/// Whether `next` is greater than the last of the values.
 fn rises(values: &[f64], next: f64) -> bool {
     values.last().is_none_or(|last| next > *last)
 }
--- a/crates/config/src/check/limits.rs
+++ b/crates/config/src/check/limits.rs
@@ -1,4 +1,4 @@
-//! The section `limits`: bounds of the core and of the sockets.
+//! Checks the section `limits`: limits of the core and of the sockets.
 use super::ConfigChecker;
 use crate::{schema, Limits};
 use crankpaddle_front::CoreConfig;
@@ -10,7 +10,7 @@
 const MAX_CONNECTIONS: u32 = 10_000_000;
 
 impl ConfigChecker<'_, '_> {
-    /// The core's configuration; `max_wait` by class.
+    /// Returns the core's configuration. `max_wait` is indexed by class number.
     pub(super) fn core(
         &mut self,
         limits: &schema::Limits,
@@ -18,7 +18,7 @@
         max_wait: Vec<Duration>,
     ) -> CoreConfig {
         let answer_margin = self.duration("limits.answer_margin", limits.answer_margin());
-        self.answer_margin_fits(answer_margin, &max_wait);
+        self.check_answer_margin(answer_margin, &max_wait);
         CoreConfig {
             max_wait,
             answer_margin,
@@ -46,17 +46,18 @@
         }
     }
 
-    fn answer_margin_fits(&mut self, answer_margin: Duration, max_wait: &[Duration]) {
+    /// Checks that the margin is at most half of each class's maximum wait.
+    fn check_answer_margin(&mut self, answer_margin: Duration, max_wait: &[Duration]) {
         for (i, max_wait) in max_wait.iter().enumerate() {
             self.must(
                 answer_margin <= *max_wait / 2,
                 &format!("class[{i}].give_up"),
-                "is under twice limits.answer_margin(): no time is left to set a session up",
+                "is under twice limits.answer_margin: too little time is left to set a session up",
             );
         }
     }
 
-    /// How long a session that a server held over a restart waits for its viewer.
+    /// Returns how long a session that outlived a restart of the front waits for its viewer; zero without a store.
     fn recovered_resume_window(&mut self, store: Option<&schema::Store>) -> Duration {
         store.map_or(Duration::ZERO, |store| {
             self.duration("store[0].back", store.back())
--- a/crates/config/src/check/log.rs
+++ b/crates/config/src/check/log.rs
@@ -1,30 +1,30 @@
-//! The section `log`.
+//! Checks the section `log`.
 use super::ConfigChecker;
 use crate::schema;
 
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 const FORMS: [&str; 2] = ["json", "human"];
 
-/// How the front logs.
-pub(super) struct Log {
+/// The checked section.
+pub(super) struct LogSettings {
     pub(super) level: String,
-    /// Whether the log is JSON lines.
+    /// Whether the log is written as JSON lines, not as text.
     pub(super) json: bool,
 }
 
 impl ConfigChecker<'_, '_> {
-    pub(super) fn log(&mut self, log: &schema::Log) -> Log {
+    pub(super) fn log(&mut self, log: &schema::Log) -> LogSettings {
         self.must(
             LEVELS.contains(&log.level()),
             "log.level",
-            "allowed: error, warn, info, debug, trace",
+            "is not a log level; allowed: error, warn, info, debug, trace",
         );
         self.must(
             FORMS.contains(&log.form()),
             "log.form",
-            "allowed: json, human",
+            "is not a log format; allowed: json, human",
         );
-        Log {
+        LogSettings {
             level: log.level().to_owned(),
             json: log.form() != "human",
         }
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! From text to a checked configuration: structure first, then every value, section by section.
+//! Converts a text into a checked configuration. The structure is checked first, then each value, section by section.
 mod budgets;
 mod classes;
 mod fleet;
@@ -19,11 +19,11 @@
 use crankpaddle_cross_zone_traffic::cross_zone_admission::CrossZoneLimit;
 use crankpaddle_front::CoreConfig;
 use crankpaddle_textproto::{Checks, Problem};
-use fleet::Fleet;
+use fleet::FleetSettings;
 use front::{FrontOptions, Replica, Zones};
-use ladder::Ladder;
-use log::Log;
-use rules::Rules;
+use ladder::LadderSettings;
+use log::LogSettings;
+use rules::RuleSettings;
 use settings::SettingsParts;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -33,13 +33,13 @@
 /// The sections that a file must have.
 const REQUIRED_SECTIONS: [&str; 5] = ["front", "fleet", "ladder", "class", "title"];
 
-/// A checked configuration, and its text with all defaults filled in.
+/// Checks a text. Returns the configuration, and the text with all defaults filled in.
 pub(crate) fn parse(text: &str) -> Result<(Config, String), Vec<Problem>> {
     let mut checks = Checks::new(text);
     let raw = checks.structure::<schema::Config>(DESCRIPTORS, "crankpaddle.v1.Config", DEFAULTS);
     let config: Option<Config> = raw.map(|raw| ConfigChecker(&mut checks).sections(&raw).into());
-    let filled = checks.filled().to_owned();
-    checks.verdict(config.map(|config| (config, filled)))
+    let text_with_defaults = checks.filled().to_owned();
+    checks.verdict(config.map(|config| (config, text_with_defaults)))
 }
 
 /// The checked sections.
@@ -47,17 +47,17 @@
     replica: Replica,
     zones: Zones,
     front: FrontOptions,
-    fleet: Fleet,
-    ladder: Ladder,
+    fleet: FleetSettings,
+    ladder: LadderSettings,
     classes: Classes,
     tenants: Tenants,
-    rules: Rules,
-    terms: CoreConfig,
+    rules: RuleSettings,
+    core: CoreConfig,
     titles: Titles,
     budgets: Vec<CrossZoneLimit>,
     peers: Option<Peers>,
     store: Option<Store>,
-    log: Log,
+    log: LogSettings,
     limits: Limits,
 }
 
@@ -74,7 +74,7 @@
                 tenant_quota: sections.tenants.quotas,
                 rules: sections.rules,
             }),
-            terms: sections.terms,
+            terms: sections.core,
             limits: sections.limits,
             listen: sections.front.listen,
             list_service: sections.front.list_service,
@@ -96,8 +96,8 @@
     }
 }
 
-/// Checks the values of a configuration. Each section reports its problems and returns usable values in any case, so that
-/// the sections after it are checked too.
+/// Checks the values of a configuration. The method of a section reports its problems and always returns usable values, so
+/// that the remaining sections are checked too.
 struct ConfigChecker<'a, 'b>(&'a mut Checks<'b>);
 
 impl<'b> std::ops::Deref for ConfigChecker<'_, 'b> {
@@ -129,7 +129,7 @@
         let tenants = self.tenants(&raw.tenant);
         let rules = self.rules(&raw.rules.clone().unwrap_or_default());
         Sections {
-            terms: self.core(&limits, raw.store.first(), classes.max_wait.clone()),
+            core: self.core(&limits, raw.store.first(), classes.max_wait.clone()),
             titles: self.titles(&raw.title, fleet.cells),
             budgets: self.budgets(&raw.budget, &zones, &classes.names),
             peers: self.peers(&raw.peers),
@@ -154,12 +154,12 @@
         }
     }
 
-    /// A time, more than zero.
+    /// Reads a time, which must be longer than zero.
     fn duration(&mut self, path: &str, text: &str) -> Duration {
         Duration::from_nanos(self.time(path, text))
     }
 
-    /// Checks the name that a front has among others.
+    /// Checks the name that identifies a front among its peers or at servers.
     fn replica_name(&mut self, path: &str, name: &str) {
         const MAX_BYTES: usize = 64;
         let is_allowed =
@@ -167,7 +167,7 @@
         self.must(
             is_allowed,
             path,
-            "a name of 1 to 64 bytes without spaces is wanted",
+            "must be a name of 1 to 64 bytes without spaces",
         );
     }
 
@@ -176,7 +176,7 @@
         self.must(
             !file.is_empty(),
             path,
-            "is missing: a file of 32 hex digits",
+            "is missing; allowed: the path of a file of 32 hex digits",
         );
         file.into()
     }
--- a/crates/config/src/check/peers.rs
+++ b/crates/config/src/check/peers.rs
@@ -1,17 +1,21 @@
-//! The section `peers`: how fronts find each other.
+//! Checks the section `peers`: how a front finds its peers and is found by them.
 use super::ConfigChecker;
 use crate::{schema, Peers};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The shortest probe interval: within a shorter one no peer could answer.
+/// Minimum probe interval. A peer could not answer within a shorter one.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(20);
 const BYTES_PER_KB: f64 = 1000.0;
 
 impl ConfigChecker<'_, '_> {
     pub(super) fn peers(&mut self, sections: &[schema::Peers]) -> Option<Peers> {
-        self.must(sections.len() <= 1, "peers[1]", "peers stand once");
+        self.must(
+            sections.len() <= 1,
+            "peers[1]",
+            "is given more than once; allowed: one section peers",
+        );
         let peers = sections.first()?;
         let path = |field: &str| format!("peers[0].{field}");
         self.replica_name(&path("name"), &peers.name);
@@ -19,7 +23,7 @@
         self.must(
             probe_every >= MIN_PROBE_INTERVAL,
             &path("probe_every"),
-            "is under 20 ms: nobody could answer in time",
+            "is under 20 ms: no peer could answer in time",
         );
         Some(Peers {
             name: peers.name.clone(),
@@ -49,7 +53,7 @@
         seeds
     }
 
-    /// Addresses that replace those that peers advertise, by the peer's name.
+    /// Returns the addresses to use instead of those that peers advertise, by the peer's name.
     fn peer_addresses(&mut self, peers: &schema::Peers) -> HashMap<String, SocketAddr> {
         let names: Vec<&str> = peers.way.iter().map(|way| way.name.as_str()).collect();
         self.names("peers[0].way", ".name", &names);
--- a/crates/config/src/check/rules.rs
+++ b/crates/config/src/check/rules.rs
@@ -1,11 +1,11 @@
-//! The section `rules`: retries, slow start, overload and prices.
+//! Checks the section `rules`: retries, slow start, overload and prices.
 use super::ConfigChecker;
 use crate::schema;
 
 const MAX_ATTEMPTS: u32 = 200;
 
-/// The rules' values. Times in nanoseconds.
-pub(super) struct Rules {
+/// The checked section. Times are in nanoseconds.
+pub(super) struct RuleSettings {
     pub(super) over_quota_weight: f64,
     pub(super) max_attempts: u32,
     pub(super) max_retry_after: u64,
@@ -17,18 +17,20 @@
     pub(super) cross_zone_price: f64,
 }
 
-/// The retries that are allowed. The default allows any number.
+/// The limit of retries. The default does not limit them.
 #[derive(Default)]
 pub(super) struct RetryBudget {
-    /// `None`: no bound.
+    /// Retries that are allowed in a window at any request rate. `None` if retries are not limited.
     pub(super) min: Option<f64>,
+    /// Further retries that are allowed per request received in the window.
     pub(super) ratio: f64,
+    /// Length of the window in nanoseconds.
     pub(super) window: u64,
 }
 
 impl ConfigChecker<'_, '_> {
-    pub(super) fn rules(&mut self, rules: &schema::Rules) -> Rules {
-        Rules {
+    pub(super) fn rules(&mut self, rules: &schema::Rules) -> RuleSettings {
+        RuleSettings {
             retry_budget: self.retry_budget(rules.retry.as_ref()),
             over_quota_weight: self.within(
                 "rules.over_share_worth",
--- a/crates/config/src/check/settings.rs
+++ b/crates/config/src/check/settings.rs
@@ -1,19 +1,19 @@
-//! The decision module's settings, assembled from the checked sections.
-use super::fleet::Fleet;
+//! Assembles the settings of the decision module from the checked sections.
+use super::fleet::FleetSettings;
 use super::front::Replica;
-use super::ladder::Ladder;
-use super::rules::Rules;
+use super::ladder::LadderSettings;
+use super::rules::RuleSettings;
 use crankpaddle::{Class, Settings};
 
-/// The sections that the settings are made of.
+/// The checked values that go into the settings.
 pub(super) struct SettingsParts {
     pub(super) replica: Replica,
     pub(super) zone: usize,
     pub(super) classes: Vec<Class>,
-    pub(super) fleet: Fleet,
-    pub(super) ladder: Ladder,
+    pub(super) fleet: FleetSettings,
+    pub(super) ladder: LadderSettings,
     pub(super) tenant_quota: Vec<f64>,
-    pub(super) rules: Rules,
+    pub(super) rules: RuleSettings,
 }
 
 pub(super) fn settings(parts: SettingsParts) -> Settings {
--- a/crates/config/src/check/store.rs
+++ b/crates/config/src/check/store.rs
@@ -1,25 +1,29 @@
-//! The section `store`: what survives a power loss, and how service returns after one.
+//! Checks the section `store`: what survives a power loss, and the stages of recovery after one.
 use super::ConfigChecker;
 use crate::{schema, Store};
 use crankpaddle_recovery::StageTimeouts;
 use std::time::Duration;
 
 impl ConfigChecker<'_, '_> {
-    /// `warm_up` is the time after which a restarted server is warm, nanoseconds.
+    /// `warm_up` is the time in nanoseconds after which a restarted server is warm.
     pub(super) fn store(&mut self, sections: &[schema::Store], warm_up: u64) -> Option<Store> {
-        self.must(sections.len() <= 1, "store[1]", "a store stands once");
+        self.must(
+            sections.len() <= 1,
+            "store[1]",
+            "is given more than once; allowed: one section store",
+        );
         let store = sections.first()?;
         let path = |field: &str| format!("store[0].{field}");
         self.must(
             !store.dir.is_empty(),
             &path("dir"),
-            "is missing: a folder of this front's own",
+            "is missing; allowed: a directory that only this front uses",
         );
         self.replica_name(&path("name"), &store.name);
         self.must(
             !store.boot_file().is_empty(),
             &path("boot_file"),
-            "is empty: a file that differs with each boot",
+            "is empty; allowed: the path of a file whose text differs with each boot",
         );
         Some(Store {
             dir: store.dir.clone().into(),
--- a/crates/config/src/check/tenants.rs
+++ b/crates/config/src/check/tenants.rs
@@ -1,10 +1,11 @@
-//! The sections `tenant`: the tenants that share the fleet, and their quotas.
+//! Checks the sections `tenant`: the tenants that share the fleet, and their quotas.
 use super::ConfigChecker;
 use crate::schema;
 
-/// The tenants in order; empty where one owner has all.
+/// The tenants, indexed by tenant number. Empty if the fleet is not shared among tenants.
 pub(super) struct Tenants {
     pub(super) names: Vec<String>,
+    /// Quota of each tenant in requests per second over all fronts.
     pub(super) quotas: Vec<f64>,
 }
 
--- a/crates/config/src/check/titles.rs
+++ b/crates/config/src/check/titles.rs
@@ -1,11 +1,11 @@
-//! The sections `title`: where each title is stored and which group its traffic counts under.
+//! Checks the sections `title`: where each title is stored, and under which group its traffic is counted.
 use super::ConfigChecker;
 use crate::{schema, Title};
 use std::collections::HashMap;
 
-const MAX_GROUPS: usize = 1000;
+const MAX_TITLE_GROUPS: usize = 1000;
 
-/// The titles by name, and the names of their groups by number.
+/// The titles by name, and the names of their groups, indexed by group number.
 pub(super) struct Titles {
     pub(super) titles: HashMap<String, Title>,
     pub(super) groups: Vec<String>,
@@ -16,14 +16,14 @@
         let names: Vec<&str> = raw.iter().map(|title| title.name.as_str()).collect();
         self.names("title", ".name", &names);
         let mut titles = HashMap::new();
-        let mut groups = vec![String::new()]; // That of titles without one.
+        let mut groups = vec![String::new()]; // The group of titles without a group.
         for (i, title) in raw.iter().enumerate() {
             let path = |field: &str| format!("title[{i}].{field}");
             let first_cell = self.count(&path("first_cell"), title.first_cell, 0, cells - 1);
             let copies = self.count(&path("copies"), title.copies, 1, cells);
             let group = group_index(&mut groups, &title.group);
             self.must(
-                group <= MAX_GROUPS,
+                group <= MAX_TITLE_GROUPS,
                 &path("group"),
                 "1000 groups are allowed at most",
             );
@@ -39,7 +39,7 @@
     }
 }
 
-/// The index of a group, which is added if it is new.
+/// Returns the index of a group, which is added if it is new.
 fn group_index(groups: &mut Vec<String>, name: &str) -> usize {
     if let Some(index) = groups.iter().position(|group| group == name) {
         return index;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The configuration of a front: protobuf text format, checked completely before anything starts.
 //!
-//! [`parse`] reads a text into a [`Config`] in the terms of the core, or reports every problem, each with line, column
-//! and what is allowed. The schema is `proto/config.proto`; the defaults are in `proto/defaults.textproto`, and nowhere
-//! else. Fields of [`Limits`], [`Peers`] and [`Store`] have the names of the schema.
+//! [`parse`] converts a text into a [`Config`], or reports every problem with its line, its column and the allowed values.
+//! The schema is `proto/config.proto`. All defaults are in `proto/defaults.textproto`. The fields of [`Limits`] and
+//! [`Peers`], and most of [`Store`], are named as in the schema.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod check;
@@ -17,158 +17,158 @@
 
 pub use crankpaddle_textproto::Problem;
 
-#[allow(missing_docs, unreachable_pub)] // Generated; the schema has its own comments.
+#[allow(missing_docs, unreachable_pub)] // Generated code; the fields are documented in the schema.
 mod schema {
     include!(concat!(env!("OUT_DIR"), "/crankpaddle.v1.rs"));
 }
 
-/// The schema's descriptors, for the text format.
+/// The compiled descriptors of the schema, which the text format parser needs.
 pub(crate) const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/config.binpb"));
 
-/// The defaults for what a file leaves out, in the same format.
+/// The values of fields that a file leaves out, in the text format of the configuration.
 pub const DEFAULTS: &str = include_str!("../proto/defaults.textproto");
 
 /// A title and where it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Title {
-    /// Its number for the core.
+    /// Number that identifies the title in the core: its position in the file, from 1.
     pub number: u64,
-    /// First cell that stores it.
+    /// First cell that stores the title.
     pub first_cell: u32,
-    /// Number of consecutive cells that store it.
+    /// Number of consecutive cells that store the title.
     pub copies: u32,
-    /// Group under which its traffic is counted, an index into [`Config::groups`].
+    /// Group under which the title's traffic is counted, as an index into [`Config::groups`].
     pub group: u16,
 }
 
-/// Limits of the front's sockets. Sizes in bytes.
+/// Limits of the front's sockets. Sizes are in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Concurrent player connections.
+    /// Maximum number of concurrent player connections.
     pub connections: usize,
-    /// Largest message from a player.
+    /// Maximum size of a message from a player.
     pub message: usize,
-    /// Bytes that may wait for a player that does not read.
+    /// Bytes that may be queued for a player that does not read; a player with more is disconnected.
     pub unread: usize,
-    /// A silent player is pinged after this time, and disconnected after as much again.
+    /// A player that sends nothing is pinged after this time, and disconnected after the same time again.
     pub idle: Duration,
-    /// Time within which a request must be complete.
+    /// Time within which a WebSocket handshake or an HTTP request must be complete.
     pub handshake: Duration,
-    /// Time to connect to a server.
+    /// Timeout for connecting to a server.
     pub connect: Duration,
     /// Idle connections to servers are closed after this time.
     pub pool_idle: Duration,
-    /// A silent event stream is reconnected after this time.
+    /// A server's event stream is reconnected after this time without data.
     pub silence: Duration,
-    /// Longest time that a shutdown waits for work in progress.
+    /// Maximum time that a graceful shutdown waits for pending requests and active sessions.
     pub drain: Duration,
 }
 
-/// How a front finds its peers and is found by them.
+/// The front's membership: how it finds its peers and is found by them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peers {
-    /// Its name among its peers.
+    /// The front's name, unique among its peers and the same after a restart.
     pub name: String,
-    /// Address on which it receives their datagrams.
+    /// UDP address on which the front receives its peers' datagrams.
     pub listen: SocketAddr,
-    /// Address that it advertises; `None`: that on which it listens.
+    /// Address that the front advertises to its peers. `None` if it advertises the one on which it listens.
     pub address: Option<SocketAddr>,
-    /// Addresses of peers that it contacts first.
+    /// Addresses of the peers that the front contacts at its start.
     pub seeds: Vec<SocketAddr>,
-    /// The file with the fleet's key.
+    /// File with the fleet's key, which keeps the datagrams of different fleets apart.
     pub key_file: PathBuf,
-    /// Most datagrams sent in a second.
+    /// Maximum number of datagrams sent per second.
     pub datagrams: u32,
-    /// Most bytes sent in a second.
+    /// Maximum number of bytes sent per second.
     pub bytes: usize,
-    /// Probe interval.
+    /// Interval between two health checks of peers.
     pub probe_every: Duration,
-    /// Addresses that replace those that peers advertise, by the peer's name.
+    /// Addresses to use instead of those that peers advertise, by the peer's name.
     pub ways: HashMap<String, SocketAddr>,
 }
 
-/// What is persisted over a power loss, and how service returns after one.
+/// The store of the state that survives a power loss, and the stages of recovery after one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Store {
-    /// The directory.
+    /// Directory of the store, which only this front uses.
     pub dir: PathBuf,
-    /// This front's name, the same in all its incarnations.
+    /// The front's name, unique in the fleet and the same in all its incarnations.
     pub name: String,
-    /// The file with the key from which its name at servers is derived.
+    /// File with the key from which the front's name at servers is derived.
     pub key_file: PathBuf,
-    /// Timeouts of the stages in which service returns.
+    /// Timeouts of the recovery stages.
     pub steps: crankpaddle_recovery::StageTimeouts,
-    /// A file whose text differs with each boot of the host.
+    /// File whose content differs with each boot of the host.
     pub boot_file: PathBuf,
 }
 
 /// A checked configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// What is persisted over a power loss; `None`: nothing.
+    /// The store of the state that survives a power loss. `None` if nothing is persisted.
     pub store: Option<Store>,
-    /// How to find the other fronts; `None`: this one has no peers.
+    /// The front's membership. `None` if the front has no peers.
     pub peers: Option<Peers>,
-    /// The decision module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The core's configuration.
+    /// Configuration of the core: waits, retention times and limits of pending requests.
     pub terms: CoreConfig,
-    /// Limits of the sockets.
+    /// Limits of the front's sockets.
     pub limits: Limits,
     /// Address on which players and operators connect.
     pub listen: SocketAddr,
-    /// Address of the list service.
+    /// Address of the service that provides the endpoint list.
     pub list_service: SocketAddr,
-    /// The file in which the last endpoint list is cached.
+    /// File in which the last endpoint list is cached, for a start without the list service. `None` if it is not cached.
     pub list_cache: Option<PathBuf>,
-    /// Seed of the decision module's generator; `None`: a random one.
+    /// Seed of the decision module's random generator. `None` if each start uses a random one.
     pub seed: Option<u64>,
-    /// Worker threads; `None`: one a core.
+    /// Number of worker threads. `None` for one per core.
     pub workers: Option<usize>,
-    /// Names of classes, by class number.
+    /// Names of the classes, indexed by class number.
     pub classes: Vec<String>,
-    /// Names of tenants, by number; empty: one owner of all.
+    /// Names of the tenants, indexed by tenant number. Empty if the fleet is not shared among tenants.
     pub tenants: Vec<String>,
-    /// Names of zones, by number.
+    /// Names of the zones, indexed by zone number.
     pub zones: Vec<String>,
-    /// Names of kinds, by number.
+    /// Names of the kinds of servers, indexed by kind number.
     pub kinds: Vec<String>,
-    /// Names of title groups, by number; the first, empty, is that of titles without a group.
+    /// Names of the title groups, indexed by group number. The first one is empty and holds the titles without a group.
     pub groups: Vec<String>,
-    /// Budgets for traffic from other zones to this front's zone.
+    /// Budgets for the traffic from other zones to this front's zone.
     pub budgets: Vec<CrossZoneLimit>,
-    /// The file in which the traffic account is persisted.
+    /// File in which the traffic account is persisted. `None` if the account restarts at zero.
     pub traffic_file: Option<PathBuf>,
-    /// Titles by name.
+    /// The titles, by name.
     pub titles: HashMap<String, Title>,
-    /// Log level.
+    /// Log level: `error`, `warn`, `info`, `debug` or `trace`.
     pub log_level: String,
-    /// Whether the log is JSON lines.
+    /// Whether the log is written as JSON lines, not as text.
     pub log_json: bool,
 }
 
-/// Why a file could not be used.
+/// Why a configuration file could not be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
-    /// It could not be read.
+pub enum LoadError {
+    /// The file could not be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system reported.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// It was read and has problems.
+    /// The file was read and has problems.
     #[error("{}", list_problems(path, problems))]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The problems, in the order of the file.
+        /// The problems, in the order in which they occur in the file.
         problems: Vec<Problem>,
     },
 }
 
-/// One line for each problem, with the file's name.
+/// Formats each problem as a line `FILE:LINE:COLUMN: ...`.
 fn list_problems(path: &Path, problems: &[Problem]) -> String {
     let lines: Vec<String> = problems
         .iter()
@@ -177,39 +177,40 @@
     lines.join("\n")
 }
 
-/// Reads and checks a file.
+/// Reads and checks a configuration file.
 ///
 /// # Errors
-/// The file can't be read, or has problems.
-pub fn load(path: &Path) -> Result<Config, Error> {
+/// The file can't be read or has problems.
+pub fn load(path: &Path) -> Result<Config, LoadError> {
     let (config, _) = check_file(path)?;
     Ok(config)
 }
 
-/// Checks a text.
+/// Checks the text of a configuration.
 ///
 /// # Errors
-/// Every problem in it, in the order of the file.
+/// Every problem in the text, in the order in which they occur.
 pub fn parse(text: &str) -> Result<Config, Vec<Problem>> {
     let (config, _) = check::parse(text)?;
     Ok(config)
 }
 
-/// Checks a file and returns its text with all defaults filled in.
+/// Checks a configuration file and returns its text with all defaults filled in.
 ///
 /// # Errors
 /// As [`load`].
-pub fn filled(path: &Path) -> Result<String, Error> {
-    let (_, filled) = check_file(path)?;
-    Ok(filled)
+pub fn text_with_defaults(path: &Path) -> Result<String, LoadError> {
+    let (_, text) = check_file(path)?;
+    Ok(text)
 }
 
-fn check_file(path: &Path) -> Result<(Config, String), Error> {
-    let text = std::fs::read_to_string(path).map_err(|source| Error::Read {
+/// Returns the checked configuration, and the file's text with all defaults filled in.
+fn check_file(path: &Path) -> Result<(Config, String), LoadError> {
+    let text = std::fs::read_to_string(path).map_err(|source| LoadError::Read {
         path: path.to_owned(),
         source,
     })?;
-    check::parse(&text).map_err(|problems| Error::Invalid {
+    check::parse(&text).map_err(|problems| LoadError::Invalid {
         path: path.to_owned(),
         problems,
     })
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -1,25 +1,27 @@
-//! Every problem in a file is reported at once, with its place and with what is allowed.
+//! Every problem in a configuration is reported in one run, with its line and column and the allowed values.
 use crankpaddle_config::{parse, Problem};
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// All fields: the example in deploy, with its limits and rules stated.
-const GOOD: &str = include_str!("full.textproto");
-/// What an operator starts from.
+/// The example in `deploy` with its limits and rules given explicitly.
+const VALID: &str = include_str!("full.textproto");
+/// The documented configuration that an operator starts from.
 const EXAMPLE: &str = include_str!("../../../deploy/front.textproto");
 
-fn problems(from: &str, to: &str) -> Vec<Problem> {
-    assert!(GOOD.contains(from), "{from}");
-    parse(&GOOD.replacen(from, to, 1)).expect_err("this must not pass")
+/// The problems of the valid configuration after one replacement.
+fn problems_after(from: &str, to: &str) -> Vec<Problem> {
+    assert!(VALID.contains(from), "{from}");
+    parse(&VALID.replacen(from, to, 1)).expect_err("the altered configuration must be rejected")
 }
 
+/// The number of the first line that contains this text.
 fn line_of(text: &str) -> usize {
-    GOOD.lines().position(|l| l.contains(text)).unwrap() + 1
+    VALID.lines().position(|line| line.contains(text)).unwrap() + 1
 }
 
 #[test]
-fn the_example_is_read_as_written() {
-    let config = parse(GOOD).unwrap();
+fn a_valid_configuration_is_parsed_with_its_values() {
+    let config = parse(VALID).unwrap();
     assert_eq!(config.settings.rung_kb, [60.0, 120.0, 200.0, 400.0]);
     assert_eq!(config.settings.classes[0].latency_objective, 800_000_000);
     assert_eq!(config.settings.classes[0].max_rung, 3);
@@ -36,29 +38,29 @@
     );
 }
 
-/// A mistake in the good file, and how it is reported.
+/// A mistake in the valid configuration, and the problem that is reported for it.
 struct Mistake {
-    /// The text that is replaced.
+    /// Text that is replaced.
     from: &'static str,
-    /// What it is replaced by.
+    /// Text that replaces it.
     to: &'static str,
-    /// A text in the line that is reported.
+    /// Text in the line for which the problem is reported.
     line: &'static str,
-    /// A part of the report.
-    report: &'static str,
+    /// Part of the message.
+    message: &'static str,
 }
 
 const fn mistake(
     from: &'static str,
     to: &'static str,
     line: &'static str,
-    report: &'static str,
+    message: &'static str,
 ) -> Mistake {
     Mistake {
         from,
         to,
         line,
-        report,
+        message,
     }
 }
 
@@ -136,90 +138,93 @@
 ];
 
 #[test]
-fn each_mistake_is_reported_at_its_place() {
+fn each_mistake_is_reported_with_its_line() {
     for Mistake {
         from,
         to,
         line,
-        report,
+        message,
     } in MISTAKES
     {
-        let found = problems(from, to);
-        let here: Vec<_> = found
+        let found = problems_after(from, to);
+        let at_line: Vec<_> = found
             .iter()
-            .filter(|p| p.line == line_of(line) && p.what.contains(report))
+            .filter(|problem| problem.line == line_of(line) && problem.what.contains(message))
             .collect();
-        assert_eq!(here.len(), 1, "{from} -> {to}: {found:?}");
+        assert_eq!(at_line.len(), 1, "{from} -> {to}: {found:?}");
     }
 }
 
 #[test]
-fn unknown_fields_are_listed_with_what_is_allowed() {
-    let found = problems("cells: 4", "cels: 4\n  rackz: 1");
-    let said: Vec<String> = found.iter().map(ToString::to_string).collect();
+fn unknown_fields_are_reported_with_the_allowed_ones() {
+    let found = problems_after("cells: 4", "cels: 4\n  rackz: 1");
+    let messages: Vec<String> = found.iter().map(ToString::to_string).collect();
     assert!(
-        said.iter()
-            .any(|s| s.contains("no field \"cels\" in fleet; allowed: cells, join")),
-        "{said:?}"
+        messages
+            .iter()
+            .any(|message| message.contains("no field \"cels\" in fleet; allowed: cells, join")),
+        "{messages:?}"
     );
     assert!(
-        said.iter().any(|s| s.contains("no field \"rackz\"")),
-        "{said:?}"
+        messages
+            .iter()
+            .any(|message| message.contains("no field \"rackz\"")),
+        "{messages:?}"
     );
     assert_eq!((found[0].line, found[0].column), (line_of("cells: 4"), 3));
 }
 
 #[test]
-fn all_problems_are_reported_at_once_in_order() {
-    let text = GOOD
+fn all_problems_are_reported_in_the_order_of_the_file() {
+    let text = VALID
         .replace("index: 0", "index: 9")
         .replace("fall: \"1s\"", "fall: \"\"")
         .replace("copies: 3", "copies: 0");
     let found = parse(&text).unwrap_err();
     assert_eq!(found.len(), 6, "{found:?}");
-    assert!(found.windows(2).all(|w| w[0].line <= w[1].line));
+    assert!(found.windows(2).all(|pair| pair[0].line <= pair[1].line));
 }
 
 #[test]
 fn an_empty_file_reports_the_missing_sections() {
-    let said: Vec<String> = parse("")
+    let messages: Vec<String> = parse("")
         .unwrap_err()
         .iter()
-        .map(|p| p.what.clone())
+        .map(|problem| problem.what.clone())
         .collect();
-    for block in ["front", "fleet", "ladder", "class", "title"] {
+    for section in ["front", "fleet", "ladder", "class", "title"] {
         assert!(
-            said.contains(&format!("{block}: is missing")),
-            "{block}: {said:?}"
+            messages.contains(&format!("{section}: is missing")),
+            "{section}: {messages:?}"
         );
     }
 }
 
 #[test]
-fn a_few_lines_are_enough_and_defaults_fill_in_the_rest() {
-    let stated = EXAMPLE
+fn a_short_configuration_is_valid_and_defaults_fill_in_the_rest() {
+    let line_count = EXAMPLE
         .lines()
-        .filter(|l| !l.trim().is_empty() && !l.starts_with('#'))
+        .filter(|line| !line.trim().is_empty() && !line.starts_with('#'))
         .count();
-    assert!(stated <= 12, "{stated} lines");
-    let few = parse(EXAMPLE).unwrap();
+    assert!(line_count <= 12, "{line_count} lines");
+    let config = parse(EXAMPLE).unwrap();
     assert_eq!(
         (
-            few.settings.max_attempts,
-            few.limits.message,
-            few.terms.max_retained_keys
+            config.settings.max_attempts,
+            config.limits.message,
+            config.terms.max_retained_keys
         ),
         (3, 65536, 100_000)
     );
     assert_eq!(
         (
-            few.settings.classes[0].latency_objective,
-            few.settings.classes[1].priority_weight
+            config.settings.classes[0].latency_objective,
+            config.settings.classes[1].priority_weight
         ),
         (1_000_000_000, 1.0)
     );
-    assert!(few.log_json && few.log_level == "info");
-    // Zero is a value, not an absence.
+    assert!(config.log_json && config.log_level == "info");
+    // An explicit zero is not replaced by the default.
     let text = EXAMPLE.to_owned() + "rules { over_share_worth: 0 cold_share: 0.5 }\n";
     let config = parse(&text).unwrap();
     assert_eq!(
@@ -231,13 +236,13 @@
     );
     assert_eq!(
         config.settings.max_attempts, 3,
-        "the rest of the block is filled in all the same"
+        "the other fields of the section get their defaults"
     );
 }
 
 #[test]
 fn unknown_and_malformed_fields_do_not_hide_other_problems() {
-    let text = GOOD
+    let text = VALID
         .replace("index: 0", "index: 9")
         .replace("siblings: 2", "siblings: -2")
         .replace("cells: 4", "cels: 4")
@@ -247,54 +252,56 @@
             "copies: 0 }\ntitle { name: \"old",
         );
     let found = parse(&text).unwrap_err();
-    let said: Vec<String> = found.iter().map(ToString::to_string).collect();
-    for (line, what) in [
+    let messages: Vec<String> = found.iter().map(ToString::to_string).collect();
+    for (line, message) in [
         ("siblings: 2", "expected"),
         ("cells: 4", "no field \"cels\" in fleet"),
         ("effect: FREE", "PIAD"),
         ("mill-weir", "title[1].copies"),
     ] {
-        let here = found
+        let at_line = found
             .iter()
-            .filter(|p| p.line == line_of(line) && p.what.contains(what))
+            .filter(|problem| problem.line == line_of(line) && problem.what.contains(message))
             .count();
-        assert_eq!(here, 1, "{line}: {said:?}");
+        assert_eq!(at_line, 1, "{line}: {messages:?}");
     }
     assert!(
-        !said.iter().any(|s| s.contains("front.siblings: is")),
-        "told once: {said:?}"
+        !messages
+            .iter()
+            .any(|message| message.contains("front.siblings: is")),
+        "reported once: {messages:?}"
     );
     assert!(
-        !said
+        !messages
             .iter()
-            .any(|s| s.contains("class[1].effect: is missing")),
-        "told once: {said:?}"
+            .any(|message| message.contains("class[1].effect: is missing")),
+        "reported once: {messages:?}"
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever a file holds, checking it ends with a verdict and places inside the file.
+    /// The check of any text ends without a panic, and the places of all problems are inside the text.
     #[test]
-    fn no_text_makes_the_check_panic(at in 0..GOOD.len(), cut in 0..40usize, put in "[ -~\n\u{e9}]{0,12}") {
-        let mut text = GOOD.to_owned();
-        let end = (at + cut).min(text.len());
-        if text.is_char_boundary(at) && text.is_char_boundary(end) {
-            text.replace_range(at..end, &put);
+    fn no_text_makes_the_check_panic(start in 0..VALID.len(), removed in 0..40usize, inserted in "[ -~\n\u{e9}]{0,12}") {
+        let mut text = VALID.to_owned();
+        let end = (start + removed).min(text.len());
+        if text.is_char_boundary(start) && text.is_char_boundary(end) {
+            text.replace_range(start..end, &inserted);
         }
         if let Err(problems) = parse(&text) {
             prop_assert!(!problems.is_empty());
             let lines = text.matches('\n').count() + 1;
-            prop_assert!(problems.iter().all(|p| (1..=lines).contains(&p.line) && p.column >= 1));
+            prop_assert!(problems.iter().all(|problem| (1..=lines).contains(&problem.line) && problem.column >= 1));
         }
     }
 }
 
 #[test]
-fn budgets_are_those_of_the_fronts_own_zone_and_all_are_checked() {
-    let budget = |more: &str| {
-        format!("{GOOD}budget {{ from: \"south\" to: \"north\" rate: \"5MB/s\" {more} }}\n")
+fn only_budgets_of_the_own_zone_are_kept_and_all_are_checked() {
+    let budget = |fields: &str| {
+        format!("{VALID}budget {{ from: \"south\" to: \"north\" rate: \"5MB/s\" {fields} }}\n")
     };
     let config = parse(
         &(budget("burst: \"2GiB\"")
@@ -312,19 +319,19 @@
         (limit.shared.volume_bytes, limit.shared.max_repayment_time),
         (f64::INFINITY, Duration::from_nanos(60_000_000_000))
     );
-    let none = parse(&budget("burst: \"1MiB\"").replace("5MB/s", "0kB/s")).unwrap();
+    let forbidden = parse(&budget("burst: \"1MiB\"").replace("5MB/s", "0kB/s")).unwrap();
     assert_eq!(
-        none.budgets[0].shared.rate_kb, 0.0,
-        "nothing may cross: a value, not an absence"
+        forbidden.budgets[0].shared.rate_kb, 0.0,
+        "an explicit zero forbids the traffic"
     );
-    for (text, said) in [
+    for (text, message) in [
         (
             budget("burst: \"1MiB\"").replace("from: \"south\" to", "from: \"sth\" to"),
             "budget[0].from: \"sth\" is not in fleet.zone",
         ),
         (
             budget("burst: \"1MiB\"").replace("from: \"south\" to", "from: \"north\" to"),
-            "only what crosses has a budget",
+            "budget[0].to: is the same zone as from; allowed: another zone",
         ),
         (
             budget("burst: \"1MiB\" class: \"x\""),
@@ -340,14 +347,14 @@
             "budget[0].rate: is missing",
         ),
         (
-            budget("burst: \"1MiB\"") + &budget("burst: \"1MiB\"")[GOOD.len()..],
+            budget("burst: \"1MiB\"") + &budget("burst: \"1MiB\"")[VALID.len()..],
             "the same zones and class as budget[0]",
         ),
     ] {
         let found = parse(&text).unwrap_err();
         assert!(
-            found.iter().any(|p| p.what.contains(said)),
-            "{said}: {found:?}"
+            found.iter().any(|problem| problem.what.contains(message)),
+            "{message}: {found:?}"
         );
     }
 }
