--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -19,6 +19,18 @@
     VALID.lines().position(|line| line.contains(text)).unwrap() + 1
 }
 
+/// Counts the problems of a line, given by a text in it, whose messages contain this text.
+fn count_at(problems: &[Problem], line: &str, message: &str) -> usize {
+    problems
+        .iter()
+        .filter(|problem| problem.line == line_of(line) && problem.what.contains(message))
+        .count()
+}
+
+fn any_contains(messages: &[String], text: &str) -> bool {
+    messages.iter().any(|message| message.contains(text))
+}
+
 #[test]
 fn a_valid_configuration_is_parsed_with_its_values() {
     let config = parse(VALID).unwrap();
@@ -38,24 +50,21 @@
     );
 }
 
+type Text = &'static str;
+
 /// A mistake in the valid configuration, and the problem that is reported for it.
 struct Mistake {
     /// Text that is replaced.
-    from: &'static str,
+    from: Text,
     /// Text that replaces it.
-    to: &'static str,
+    to: Text,
     /// Text in the line for which the problem is reported.
-    line: &'static str,
+    line: Text,
     /// Part of the message.
-    message: &'static str,
+    message: Text,
 }
 
-const fn mistake(
-    from: &'static str,
-    to: &'static str,
-    line: &'static str,
-    message: &'static str,
-) -> Mistake {
+const fn mistake(from: Text, to: Text, line: Text, message: Text) -> Mistake {
     Mistake {
         from,
         to,
@@ -139,19 +148,11 @@
 
 #[test]
 fn each_mistake_is_reported_with_its_line() {
-    for Mistake {
-        from,
-        to,
-        line,
-        message,
-    } in MISTAKES
-    {
+    for mistake in MISTAKES {
+        let (from, to) = (mistake.from, mistake.to);
         let found = problems_after(from, to);
-        let at_line: Vec<_> = found
-            .iter()
-            .filter(|problem| problem.line == line_of(line) && problem.what.contains(message))
-            .collect();
-        assert_eq!(at_line.len(), 1, "{from} -> {to}: {found:?}");
+        let count = count_at(&found, mistake.line, mistake.message);
+        assert_eq!(count, 1, "{from} -> {to}: {found:?}");
     }
 }
 
@@ -159,16 +160,10 @@
 fn unknown_fields_are_reported_with_the_allowed_ones() {
     let found = problems_after("cells: 4", "cels: 4\n  rackz: 1");
     let messages: Vec<String> = found.iter().map(ToString::to_string).collect();
+    let with_allowed = "no field \"cels\" in fleet; allowed: cells, join";
+    assert!(any_contains(&messages, with_allowed), "{messages:?}");
     assert!(
-        messages
-            .iter()
-            .any(|message| message.contains("no field \"cels\" in fleet; allowed: cells, join")),
-        "{messages:?}"
-    );
-    assert!(
-        messages
-            .iter()
-            .any(|message| message.contains("no field \"rackz\"")),
+        any_contains(&messages, "no field \"rackz\""),
         "{messages:?}"
     );
     assert_eq!((found[0].line, found[0].column), (line_of("cells: 4"), 3));
@@ -259,22 +254,15 @@
         ("effect: FREE", "PIAD"),
         ("mill-weir", "title[1].copies"),
     ] {
-        let at_line = found
-            .iter()
-            .filter(|problem| problem.line == line_of(line) && problem.what.contains(message))
-            .count();
-        assert_eq!(at_line, 1, "{line}: {messages:?}");
+        let count = count_at(&found, line, message);
+        assert_eq!(count, 1, "{line}: {messages:?}");
     }
     assert!(
-        !messages
-            .iter()
-            .any(|message| message.contains("front.siblings: is")),
+        !any_contains(&messages, "front.siblings: is"),
         "reported once: {messages:?}"
     );
     assert!(
-        !messages
-            .iter()
-            .any(|message| message.contains("class[1].effect: is missing")),
+        !any_contains(&messages, "class[1].effect: is missing"),
         "reported once: {messages:?}"
     );
 }
@@ -303,11 +291,9 @@
     let budget = |fields: &str| {
         format!("{VALID}budget {{ from: \"south\" to: \"north\" rate: \"5MB/s\" {fields} }}\n")
     };
-    let config = parse(
-        &(budget("burst: \"2GiB\"")
-            + "budget { from: \"north\" to: \"south\" rate: \"1MB/s\" burst: \"1MiB\" }\n"),
-    )
-    .unwrap();
+    let text = budget("burst: \"2GiB\"")
+        + "budget { from: \"north\" to: \"south\" rate: \"1MB/s\" burst: \"1MiB\" }\n";
+    let config = parse(&text).unwrap();
     let [limit] = config.budgets[..] else {
         panic!("{:?}", config.budgets)
     };
