--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -1,15 +1,15 @@
-//! How a command fails: the text on standard error and the exit status.
+//! Failures of commands, with their text on standard error and their exit status.
 use std::fmt::{self, Display};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Exit status when the command ran and did not succeed.
+/// Exit status of a command that ran and did not succeed.
 const STATUS_FAILED: u8 = 1;
 
-/// Exit status for input that can't be used: nothing was started.
+/// Exit status of a command that did not start anything, because its input can't be used.
 const STATUS_INVALID_INPUT: u8 = 2;
 
-/// Why a command failed. It is no `std::error::Error`, so that any error converts into it by `?`.
+/// Why a command failed. It does not implement `std::error::Error`, so that `?` converts any error into it.
 #[derive(Debug)]
 pub(crate) struct CommandFailure {
     message: String,
@@ -17,7 +17,7 @@
 }
 
 impl CommandFailure {
-    /// The command ran and failed: exit status 1.
+    /// A failure of a command that ran, with exit status 1.
     pub(crate) fn failed(message: impl Display) -> CommandFailure {
         CommandFailure {
             message: message.to_string(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A file or an argument can't be used: exit status 2.
+    /// A failure because a file or an argument can't be used, with exit status 2.
     pub(crate) fn invalid_input(message: impl Display) -> CommandFailure {
         CommandFailure {
             message: message.to_string(),
@@ -33,12 +33,12 @@
         }
     }
 
-    /// As [`CommandFailure::invalid_input`], for a file that can't be read, parsed or written.
+    /// Like [`CommandFailure::invalid_input`], for a file that can't be read, parsed or written.
     pub(crate) fn invalid_file(path: &Path, reason: impl Display) -> CommandFailure {
         CommandFailure::invalid_input(format_args!("{}: {reason}", path.display()))
     }
 
-    /// The error with its code and its advice to the operator: exit status 1.
+    /// A failure with the error's code and its advice to the operator, with exit status 1.
     pub(crate) fn with_advice(error: &dyn miette::Diagnostic) -> CommandFailure {
         let mut message = error.to_string();
         if let Some(code) = error.code() {
@@ -50,7 +50,7 @@
         CommandFailure::failed(message)
     }
 
-    /// The exit status of the process.
+    /// Returns the exit status of the process.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(self.status)
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Exit status 0 for a check that passed, 1 for one that did not.
+/// Returns exit status 0 for a check that passed, and 1 for one that failed.
 pub(crate) fn exit_code_of(passed: bool) -> ExitCode {
     if passed {
         ExitCode::SUCCESS
--- a/crates/cli/src/lifecycle.rs
+++ b/crates/cli/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! What the long-running commands share: signals and the announcement of the address.
+//! The lifecycle of the long-running commands: signal handling, and the announcement of the address.
 use crate::failure::CommandFailure;
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
@@ -8,43 +8,43 @@
 
 /// A server process that runs until it has drained.
 pub(crate) trait Service: Send + Sync + 'static {
-    /// Where it listens.
+    /// Returns the address on which the service listens.
     fn address(&self) -> SocketAddr;
 
-    /// Begins the graceful shutdown.
+    /// Starts the graceful shutdown.
     fn drain(&self);
 
     /// Blocks until the shutdown is complete.
     ///
     /// # Errors
     ///
-    /// The service stopped by a fault of its own.
+    /// The service stopped because of an internal error.
     fn wait(&self) -> Result<(), CommandFailure>;
 }
 
-/// Runs the service until a signal ends it: SIGHUP reloads, each other signal begins the graceful shutdown.
+/// Runs the service until it has drained. SIGHUP calls `reload`, and any other signal starts the graceful shutdown.
 ///
 /// # Errors
 ///
-/// The service stopped by a fault of its own.
+/// The service stopped because of an internal error.
 pub(crate) fn run_until_drained<S: Service>(
     service: S,
     signals: Signals,
     reload: impl Fn(&S) + Send + 'static,
 ) -> Result<(), CommandFailure> {
     let service = Arc::new(service);
-    let signalled = service.clone();
-    let draining = service.clone();
+    let reload_target = service.clone();
+    let drain_target = service.clone();
     handle_signals(
         signals,
-        move || reload(&signalled),
-        move || draining.drain(),
+        move || reload(&reload_target),
+        move || drain_target.drain(),
     );
     announce_address(service.address());
     service.wait()
 }
 
-/// Calls `reload` at each SIGHUP and `shut_down` at each other signal, on a thread of its own.
+/// Starts a thread that calls `reload` at each SIGHUP and `shut_down` at any other signal.
 fn handle_signals(
     mut signals: Signals,
     reload: impl Fn() + Send + 'static,
@@ -64,6 +64,6 @@
 /// Prints the address on which the process listens.
 fn announce_address(address: SocketAddr) {
     let mut out = std::io::stdout().lock();
-    // Why ignored: the parent process may have closed its end of the pipe.
+    // An error is ignored, because the parent process may have closed its end of the pipe.
     let _ = writeln!(out, "listening {address}").and_then(|()| out.flush());
 }
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,28 +1,30 @@
-//! Structured logs on standard error, written by a thread of their own: a coroutine must not wait for a terminal.
+//! Structured logs on standard error. A separate thread writes them, because a coroutine must not block on a slow terminal
+//! or pipe.
 use std::io::BufWriter;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines queued for the writer at most; beyond, lines are dropped rather than players delayed.
-const QUEUED_LINES: usize = 65_536;
+/// Maximum number of log lines queued for the writer thread. Further lines are dropped, so that a slow reader of the log
+/// doesn't delay players.
+const MAX_QUEUED_LINES: usize = 65_536;
 
-/// Bytes of the writer's buffer.
-const BUFFER_BYTES: usize = 64 * 1024;
+/// Size of the writer's buffer.
+const WRITE_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Starts the logs; they are written until the guard is dropped. No secret of a player is ever logged: idempotency keys,
-/// and so sessions, appear by number only.
+/// Starts the logs, which are written until the guard is dropped. Secrets of players are never logged: idempotency keys, and
+/// so sessions, appear only by number.
 pub(crate) fn start(level: &str, json: bool) -> WorkerGuard {
-    start_bounded(level, json, QUEUED_LINES)
+    start_bounded(level, json, MAX_QUEUED_LINES)
 }
 
-/// As [`start`], with at most `queued_lines` lines queued for the writer.
-pub(crate) fn start_bounded(level: &str, json: bool, queued_lines: usize) -> WorkerGuard {
-    // The writer flushes when its queue is empty: under load one system call writes many lines.
-    let out = BufWriter::with_capacity(BUFFER_BYTES, std::io::stderr());
+/// Like [`start`], with at most `max_queued_lines` lines queued for the writer thread.
+pub(crate) fn start_bounded(level: &str, json: bool, max_queued_lines: usize) -> WorkerGuard {
+    // The writer flushes when its queue is empty, so that under load one system call writes many lines.
+    let out = BufWriter::with_capacity(WRITE_BUFFER_BYTES, std::io::stderr());
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(queued_lines)
+        .buffered_lines_limit(max_queued_lines)
         .finish(out);
-    // `may` is the coroutine runtime's target.
+    // `may` is the log target of the coroutine runtime.
     let filter = EnvFilter::try_from_env("CRANKPADDLE_LOG")
         .unwrap_or_else(|_| EnvFilter::new(format!("{level},may=warn")));
     let logs = tracing_subscriber::fmt()
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
 //! The program: `crankpaddle front`, `crankpaddle node`, `crankpaddle check`, `crankpaddle api`, `crankpaddle members`,
-//! `crankpaddle traffic`, `crankpaddle lab`. One module a subcommand.
+//! `crankpaddle traffic`, `crankpaddle lab`. Each subcommand has a module.
 #![forbid(unsafe_code)]
 mod api;
 mod check;
@@ -31,18 +31,18 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a front until SIGTERM or SIGINT; it prints "listening ADDRESS" once it accepts players.
+    /// Run a front until SIGTERM or SIGINT. It prints "listening ADDRESS" as soon as it accepts players.
     #[command(
         after_help = "Signals:\n  TERM, INT   accept no new sessions, answer pending requests, end active sessions, exit 0\n  \
         HUP         reload the file and apply its traffic budgets\n\n\
         Example:\n  crankpaddle front -c deploy/front.textproto 2>front.log"
     )]
     Front {
-        /// The configuration.
+        /// The configuration file.
         #[arg(short, long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Run as a front node of the platform: viewers on JSON lines, servers on RTSP, the directory on DNS.
+    /// Run a front node of the platform: it talks JSON lines with viewers, RTSP with servers and DNS with the directory.
     #[command(
         after_help = "All settings are read from the configuration (JSON): address, limits, directory, known servers, settings.\n\n\
         Signals:\n  TERM, INT   accept no new sessions, answer pending requests, end with the last session, exit 0\n  \
@@ -51,34 +51,34 @@
         Example:\n  NODE_CONFIG=/run/balancer/config.json crankpaddle node"
     )]
     Node {
-        /// The configuration; default: the file that NODE_CONFIG names.
+        /// The configuration file; default: the file in NODE_CONFIG.
         #[arg(short, long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
-    /// Check a configuration: prints each problem as FILE:LINE:COLUMN and exits 2, or prints nothing and exits 0.
+    /// Check a configuration. Prints each problem as FILE:LINE:COLUMN and exits 2, or prints nothing and exits 0.
     Check {
-        /// The configuration.
+        /// The configuration file.
         file: PathBuf,
-        /// Print it with every default filled in.
+        /// Print the configuration with all defaults filled in.
         #[arg(long)]
         print: bool,
     },
-    /// Descriptions of the session API: write them, compare them, check recorded traffic against them.
+    /// Write or compare the descriptions of the session API, or check recorded traffic against them.
     #[command(subcommand)]
     Api(api::ApiCommand),
-    /// The fleet's members as a running front sees them: state, since when, reported by whom; its own connectivity.
+    /// Print the fleet's members as a running front sees them (state, since when, reported by whom), and its own connectivity.
     #[command(after_help = "Example:\n  crankpaddle members 127.0.0.1:7400 --json")]
     Members {
-        /// Where the front listens for players.
+        /// The address on which the front listens for players.
         front: std::net::SocketAddr,
-        /// As JSON.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// Cross-zone traffic: reports and a live view.
+    /// Report or watch cross-zone traffic.
     #[command(subcommand)]
     Traffic(traffic::TrafficCommand),
-    /// The testbed: simulated servers and players, scripted scenarios and the invariant checker; all on loopback.
+    /// Run the testbed: simulated servers and players, scripted scenarios and the invariant checker, all on loopback.
     #[command(subcommand, name = "lab")] // The documented name of the testbed's commands.
     Testbed(testbed::TestbedCommand),
 }
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,4 +1,4 @@
-//! `crankpaddle members`: the membership of a fleet as one of its fronts sees it.
+//! `crankpaddle members`: prints the membership of a fleet as one of its fronts sees it.
 use crate::failure::CommandFailure;
 use crankpaddle_api::describe::Members;
 use std::fmt::Write as _;
@@ -10,13 +10,13 @@
 /// A front that does not answer within this time counts as unreachable.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The members as columns, then the counters that are not zero.
-fn table(view: &Members) -> String {
+/// Formats the members as a table, followed by the counters that are not zero.
+fn format_table(view: &Members) -> String {
     let mut text = format!("{} ({}): {:?}\n", view.name, view.address, view.standing);
     let _ = writeln!(
         text,
         "{:20} {:8} {:>10} {:>9}  {:20} address",
-        "member", "state", "since", "rtt", "said by"
+        "member", "state", "since", "rtt", "reported by"
     );
     for peer in &view.members {
         let rtt = peer.rtt_us.map_or("-".to_owned(), |us| format!("{us} us"));
@@ -49,21 +49,23 @@
     let body = crankpaddle_traffic_report::get(front, "/members", FETCH_TIMEOUT)
         .map_err(|error| CommandFailure::failed(format_args!("{front}: {error}")))?;
     serde_json::from_slice(&body).map_err(|error| {
-        CommandFailure::failed(format_args!("{front}: is no word on members: {error}"))
+        CommandFailure::failed(format_args!(
+            "{front}: the answer is not a list of members: {error}"
+        ))
     })
 }
 
-/// Prints the front's view of the members.
+/// Prints the members of the fleet as the front at this address sees them.
 ///
 /// # Errors
 ///
-/// The front can't be reached, or its answer is no list of members.
+/// The front can't be reached, or its answer is not a list of members.
 pub(crate) fn run(front: &SocketAddr, json: bool) -> Result<ExitCode, CommandFailure> {
     let members = fetch(front)?;
     let text = if json {
         serde_json::to_string_pretty(&members)? + "\n"
     } else {
-        table(&members)
+        format_table(&members)
     };
     std::io::stdout().write_all(text.as_bytes())?;
     Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -9,15 +9,15 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Log lines that may be queued for the writer, for each MB of the node's memory limit.
+/// Maximum number of log lines queued for the writer thread, per MB of the node's memory limit.
 const QUEUED_LINES_PER_MB: usize = 16;
 
-/// Bounds of the lines queued, whatever the memory limit: enough for a burst, and no more than a front's.
-const QUEUED_LINES_MIN: usize = 64;
-const QUEUED_LINES_MAX: usize = 65_536;
+/// Bounds of the number of queued lines at any memory limit. The lower one covers a burst; the upper one is that of a front.
+const MIN_QUEUED_LINES: usize = 64;
+const MAX_QUEUED_LINES: usize = 65_536;
 
-/// Worker threads of the coroutine runtime. Why one: the platform gives a node one core at most.
-const WORKERS: usize = 1;
+/// Number of worker threads of the coroutine runtime. The platform gives a node at most one core.
+const WORKER_THREADS: usize = 1;
 
 impl lifecycle::Service for Node {
     fn address(&self) -> SocketAddr {
@@ -45,7 +45,7 @@
         path: PathBuf,
         source: std::io::Error,
     },
-    /// The file is no valid configuration.
+    /// The file is not a valid configuration.
     #[error("{}: {source}", path.display())]
     Parse { path: PathBuf, source: ConfigError },
     /// The file changes a setting that needs a restart.
@@ -64,7 +64,7 @@
     })
 }
 
-/// Applies the file's directory address, the one setting that may change; returns it.
+/// Applies the directory address of the file, the only setting that may change while the node runs, and returns it.
 fn apply_config(node: &Node, path: &Path) -> Result<SocketAddr, ConfigFileError> {
     let config = load(path)?;
     node.reload(&config)
@@ -75,12 +75,12 @@
     Ok(config.nameserver)
 }
 
-/// Applies the file, or logs why the configuration in force stays.
+/// Applies the file, or logs why the current configuration stays in force.
 fn reload(node: &Node, path: &Path) {
     match apply_config(node, path) {
         Ok(nameserver) => tracing::info!(%nameserver, "reloaded"),
         Err(error) => {
-            tracing::error!(reason = %error, "not reloaded; the configuration in force stays");
+            tracing::error!(reason = %error, "not reloaded; the current configuration stays in force");
         }
     }
 }
@@ -98,22 +98,22 @@
     let memory_mb = usize::try_from(memory_mb).unwrap_or(usize::MAX);
     let queued_lines = memory_mb
         .saturating_mul(QUEUED_LINES_PER_MB)
-        .clamp(QUEUED_LINES_MIN, QUEUED_LINES_MAX);
+        .clamp(MIN_QUEUED_LINES, MAX_QUEUED_LINES);
     logging::start_bounded("warn", false, queued_lines)
 }
 
-/// Runs until SIGTERM or SIGINT and the end of the last session.
+/// Runs a node until SIGTERM or SIGINT, and then until the end of the last session.
 ///
 /// # Errors
 ///
 /// The configuration is missing or invalid, or the node can't listen on its address.
 pub(crate) fn run(config_flag: Option<PathBuf>) -> Result<ExitCode, CommandFailure> {
-    // First of all: a signal that arrives during the start must find its handler.
+    // The handlers are registered before anything else, so that a signal during the start is not lost.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let path = config_path(config_flag).map_err(invalid_config)?;
     let config = load(&path).map_err(invalid_config)?;
     let _log_writer = start_logs(config.limits.memory_mb);
-    crankpaddle_net::start(Some(WORKERS));
+    crankpaddle_net::start(Some(WORKER_THREADS));
     let address = config.listen;
     let node = Node::start(config)
         .map_err(|error| CommandFailure::failed(format_args!("{address}: {error}")))?;
--- a/crates/cli/src/testbed/benchmarks.rs
+++ b/crates/cli/src/testbed/benchmarks.rs
@@ -1,81 +1,81 @@
-//! `crankpaddle lab bench`, `lab account` and `lab relay`: the benchmarks and the relay that one of them compares with.
-use super::files::temporary_folder;
+//! `crankpaddle lab bench`, `lab account` and `lab relay`: the benchmarks, and the relay that serves as the baseline of one.
+use super::files::temporary_dir;
 use crate::failure::{exit_code_of, CommandFailure};
 use clap::Args;
 use crankpaddle_benchmark::{account, bench, relay};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Worker threads of the process that plays the clients and servers of a front's benchmark.
-const BENCHMARK_WORKERS: usize = 2;
+/// Number of worker threads of the process that runs the clients and servers of a front's benchmark.
+const BENCHMARK_WORKER_THREADS: usize = 2;
 
-/// Worker threads of the relay: as many as the front beside it has.
-const RELAY_WORKERS: usize = 1;
+/// Number of worker threads of the relay, the same as that of the front it is compared with.
+const RELAY_WORKER_THREADS: usize = 1;
 
-/// How a front's cost is measured.
+/// Parameters of the measurement of a front's cost.
 #[derive(Args)]
 pub(crate) struct FrontBenchmarkArgs {
-    /// Rounds of each.
+    /// Number of rounds with the front and with the relay.
     #[arg(long, default_value_t = 11)]
     rounds: usize,
-    /// Seconds of a round.
+    /// Length of a round in seconds.
     #[arg(long, default_value_t = 5)]
     seconds: u64,
-    /// Idle connections.
+    /// Number of idle connections.
     #[arg(long, default_value_t = 5000)]
     idle: usize,
-    /// Active sessions.
+    /// Number of active sessions.
     #[arg(long, default_value_t = 1000)]
     sessions: usize,
     /// The front's log level.
     #[arg(long, default_value = "info")]
     log: String,
-    /// Exit 1 if more than this fraction of either side's set-ups failed; failures are counted and reported in any case.
+    /// Exit 1 if more than this fraction of the set-ups failed, with the front or with the relay. Failures are always reported.
     #[arg(long, default_value_t = 0.001)]
     most_failed: f64,
 }
 
-/// How the cost of usage accounting is measured.
+/// Parameters of the measurement of the cost of usage accounting.
 #[derive(Args)]
 pub(crate) struct AccountingBenchmarkArgs {
-    /// Active sessions.
+    /// Number of active sessions.
     #[arg(long, default_value_t = 100_000, value_parser = clap::value_parser!(u64).range(600..=10_000_000))]
     sessions: u64,
-    /// Seconds of the simulated clock.
+    /// Simulated time in seconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// Rounds with and without, alternating.
+    /// Number of rounds with and without accounting, which alternate.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=1000))]
     rounds: u64,
 }
 
-/// Measures the cost of a front against a bare relay.
+/// Measures the cost of a front, compared with a bare relay.
 ///
 /// # Errors
 ///
 /// A process or a socket can't be started.
 pub(super) fn run_front(args: FrontBenchmarkArgs) -> Result<ExitCode, CommandFailure> {
-    crankpaddle_net::start(Some(BENCHMARK_WORKERS));
+    crankpaddle_net::start(Some(BENCHMARK_WORKER_THREADS));
     let plan = bench::Plan {
         exe: std::env::current_exe()?,
-        dir: temporary_folder(),
+        dir: temporary_dir(),
         rounds: args.rounds,
         seconds: args.seconds,
         idle: args.idle,
         sessions: args.sessions,
         log: args.log,
     };
-    let measured = bench::run(&plan)?;
-    println!("{}", measured.text);
-    let _ = std::fs::remove_dir_all(&plan.dir); // A folder left in the temporary directory is harmless.
-    Ok(exit_code_of(measured.failed <= args.most_failed))
+    let result = bench::run(&plan)?;
+    println!("{}", result.text);
+    let _ = std::fs::remove_dir_all(&plan.dir); // A directory that is left in the temporary directory is harmless.
+    Ok(exit_code_of(result.failed <= args.most_failed))
 }
 
 /// Measures the cost of usage accounting.
 ///
 /// # Errors
 ///
-/// As the benchmark's.
+/// The benchmark fails, as described there.
 pub(super) fn run_accounting(args: &AccountingBenchmarkArgs) -> Result<ExitCode, CommandFailure> {
     let plan = account::Plan {
         sessions: args.sessions,
@@ -92,7 +92,7 @@
 ///
 /// The relay can't listen.
 pub(super) fn run_relay(servers: Vec<SocketAddr>) -> Result<ExitCode, CommandFailure> {
-    crankpaddle_net::start(Some(RELAY_WORKERS));
+    crankpaddle_net::start(Some(RELAY_WORKER_THREADS));
     println!("listening {}", relay::start(servers)?);
     loop {
         std::thread::park();
--- a/crates/cli/src/testbed/cross_zone_summary.rs
+++ b/crates/cli/src/testbed/cross_zone_summary.rs
@@ -1,29 +1,29 @@
-//! Cross-zone traffic of a played scenario against its budgets.
+//! Prints the cross-zone traffic of a played scenario and the use of its budgets.
 use crankpaddle_testbed::scenario_runner::Outcome;
 use crankpaddle_testbed::script::{Day, Kind};
 use std::time::Duration;
 
-/// Seconds over which a rate of cross-zone traffic is a mean.
+/// Length of the window over which rates of cross-zone traffic are averaged.
 const RATE_WINDOW_SECONDS: u64 = 3;
 
 /// Prints the utility by class, the peak rates, the use of each budget, and when the rate was back within the budgets after
-/// a zone's recovery; by the servers' records and the fronts' reports.
-pub(super) fn print_cross_zone_summary(day: &Day, outcome: &Outcome) {
+/// a zone's recovery. Rates are those of the servers' records, budgets those of the fronts' reports.
+pub(super) fn print_cross_zone_summary(scenario: &Day, outcome: &Outcome) {
     for (class, utility) in &outcome.crossed.utility {
-        eprintln!("worth {class}: {utility:.0}");
+        eprintln!("utility {class}: {utility:.0}");
     }
-    print_peak(day, outcome);
+    print_peak(scenario, outcome);
     print_budgets(outcome);
-    print_recovery(day, outcome);
+    print_recovery(scenario, outcome);
 }
 
-fn print_peak(day: &Day, outcome: &Outcome) {
-    let end = outcome.start + day.length;
+fn print_peak(scenario: &Day, outcome: &Outcome) {
+    let end = outcome.start + scenario.length;
     let peak = outcome
         .crossed
         .peak(outcome.start, end, RATE_WINDOW_SECONDS);
     eprintln!(
-        "crossing: at most {:.0} kB/s over {RATE_WINDOW_SECONDS} s, {:.0} of it not paid for",
+        "cross-zone traffic: at most {:.0} kB/s over {RATE_WINDOW_SECONDS} s, {:.0} of it unpaid",
         peak.all, peak.unpaid
     );
 }
@@ -38,8 +38,8 @@
     }
 }
 
-fn print_recovery(day: &Day, outcome: &Outcome) {
-    let Some(recovered_at) = last_crash_end(day) else {
+fn print_recovery(scenario: &Day, outcome: &Outcome) {
+    let Some(recovered_at) = last_crash_end(scenario) else {
         return;
     };
     let budget_kb: f64 = outcome
@@ -54,19 +54,20 @@
     let seconds = outcome.crossed.below(
         budget_kb,
         outcome.start + recovered_at,
-        outcome.start + day.length,
+        outcome.start + scenario.length,
         RATE_WINDOW_SECONDS,
     );
     let when = match seconds {
-        Some(seconds) => format!("{seconds} s after"),
-        None => "not before the day's end".to_owned(),
+        Some(seconds) => format!("{seconds} s after the zone recovered"),
+        None => "not before the end of the scenario".to_owned(),
     };
-    eprintln!("crossing is back under {budget_kb:.0} kB/s {when} the hall came back");
+    eprintln!("cross-zone traffic is back under {budget_kb:.0} kB/s: {when}");
 }
 
-/// When the last crash ends, from the scenario's start.
-fn last_crash_end(day: &Day) -> Option<Duration> {
-    day.faults
+/// The time from the start of the scenario to the end of its last crash. `None` if it has no crash.
+fn last_crash_end(scenario: &Day) -> Option<Duration> {
+    scenario
+        .faults
         .iter()
         .filter(|fault| fault.kind == Kind::Crash)
         .map(|fault| fault.at + fault.length)
--- a/crates/cli/src/testbed/files.rs
+++ b/crates/cli/src/testbed/files.rs
@@ -1,4 +1,4 @@
-//! The files of the testbed's commands: scenarios and their fleets, records, and the folder of a run.
+//! Files of the testbed's commands: scenarios and their fleets, records, and the directory of a run.
 use crate::failure::CommandFailure;
 use crankpaddle_config::{Config, Problem};
 use crankpaddle_testbed::record::Record;
@@ -6,12 +6,12 @@
 use crankpaddle_testbed::script::{self, Day};
 use std::path::{Path, PathBuf};
 
-/// The folder for files that are not kept; one a process.
-pub(super) fn temporary_folder() -> PathBuf {
+/// The directory of this process for files that are not kept.
+pub(super) fn temporary_dir() -> PathBuf {
     std::env::temp_dir().join(format!("crankpaddle-{}", std::process::id()))
 }
 
-/// The problems of a script or a configuration, one a line, each behind the file's name.
+/// A failure with the problems of a script or a configuration, each on a line that begins with the file's name.
 pub(super) fn invalid_script(name: &str, problems: &[Problem]) -> CommandFailure {
     let lines: Vec<String> = problems
         .iter()
@@ -20,12 +20,12 @@
     CommandFailure::invalid_input(lines.join("\n"))
 }
 
-/// The configuration of a scenario's fleet.
-pub(super) fn fleet_config(day: &Day) -> Result<Config, CommandFailure> {
-    script::fleet_config(&day.fleet).map_err(|problems| invalid_script("fleet", &problems))
+/// Parses the configuration of a scenario's fleet.
+pub(super) fn fleet_config(scenario: &Day) -> Result<Config, CommandFailure> {
+    script::fleet_config(&scenario.fleet).map_err(|problems| invalid_script("fleet", &problems))
 }
 
-/// A scenario by its built-in name or its script's file.
+/// Reads a scenario, given by its built-in name or the path of its script.
 pub(super) fn read_scenario(name: &str) -> Result<Day, CommandFailure> {
     let built_in = script::DAYS.iter().find(|(known, _)| *known == name);
     let parsed = match built_in {
@@ -37,18 +37,18 @@
 
 fn parse_built_in(text: &str) -> Result<Day, Vec<Problem>> {
     script::parse(text, |fleet| {
-        script::built_in_fleet(fleet).ok_or_else(|| format!("{fleet:?} is no built-in fleet"))
+        script::built_in_fleet(fleet).ok_or_else(|| format!("{fleet:?} is not a built-in fleet"))
     })
 }
 
-/// A fleet that is no built-in one is a file beside the script.
+/// Parses a script from a file. Its fleet is a built-in one or a file in the same directory.
 fn parse_file(path: &Path, text: &str) -> Result<Day, Vec<Problem>> {
-    let folder = path.parent().unwrap_or(Path::new("."));
+    let dir = path.parent().unwrap_or(Path::new("."));
     script::parse(text, |fleet| {
         if let Some(fleet) = script::built_in_fleet(fleet) {
             return Ok(fleet);
         }
-        let fleet_path = folder.join(fleet);
+        let fleet_path = dir.join(fleet);
         std::fs::read_to_string(&fleet_path)
             .map_err(|error| format!("{}: {error}", fleet_path.display()))
     })
@@ -58,11 +58,13 @@
     std::fs::read_to_string(name).map_err(|error| {
         let known: Vec<&str> = script::DAYS.iter().map(|(name, _)| *name).collect();
         let known = known.join(", ");
-        CommandFailure::invalid_input(format_args!("{name}: {error}; built-in days: {known}"))
+        CommandFailure::invalid_input(format_args!(
+            "{name}: {error}; the built-in scenarios are {known}"
+        ))
     })
 }
 
-/// Writes the records of a run, where a file was asked for.
+/// Writes the records of a run, if a file is given.
 pub(super) fn write_report(file: Option<&Path>, records: &[Record]) -> Result<(), CommandFailure> {
     let Some(file) = file else {
         return Ok(());
--- a/crates/cli/src/testbed/fleet_case.rs
+++ b/crates/cli/src/testbed/fleet_case.rs
@@ -1,4 +1,4 @@
-//! `crankpaddle lab fleet` and `lab pairs`: a case of a fleet's membership, in simulated time or with processes.
+//! `crankpaddle lab fleet` and `lab pairs`: plays a case of a fleet's membership, in simulated time or with processes.
 use super::files::invalid_script;
 use super::fleet_processes;
 use crate::failure::{exit_code_of, CommandFailure};
@@ -7,46 +7,46 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// How a case of a fleet is played.
+/// The case of a fleet's membership, and how it is played.
 #[derive(Args)]
 pub(crate) struct FleetArgs {
-    /// A built-in name or a script's file.
+    /// A built-in case or the path of a script.
     #[arg(required_unless_present = "list")]
     pub(super) name: Option<String>,
     /// List the built-in cases.
     #[arg(long)]
     pub(super) list: bool,
-    /// In this process on a simulated clock and network, without sessions; default: with processes and sockets.
+    /// Play the case in this process on a simulated clock and network, without sessions; default: with processes and sockets.
     #[arg(long = "virtual")]
-    pub(super) virtually: bool,
-    /// Fronts; up to 100 where they are processes.
+    pub(super) simulated: bool,
+    /// Number of fronts; at most 100 if they are processes.
     #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u32).range(4..=5000))]
     pub(super) fronts: u32,
     /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     pub(super) seed: u64,
-    /// Write all records of sessions as JSON lines.
+    /// Write all records of sessions to this file as JSON lines.
     #[arg(long, value_name = "FILE")]
     pub(super) report: Option<PathBuf>,
-    /// Keep configurations and the fronts' logs here; default: a temporary folder that is removed on success.
+    /// Directory for the fronts' configurations and logs; default: a temporary directory that is removed on success.
     #[arg(long, value_name = "DIR")]
     pub(super) dir: Option<PathBuf>,
-    /// Interval between two of a front's health checks of its peers.
+    /// Interval between two health checks that a front makes of its peers.
     #[arg(long, default_value = "1s")]
     pub(super) probe_every: String,
-    /// New sessions a second in the whole fleet; default: the scenario's.
+    /// New sessions per second in the whole fleet; default: the rate of the scenario.
     #[arg(long)]
     pub(super) rate: Option<f64>,
-    /// Fronts form no membership: the cost of the same load without it. Claims on members fail then.
+    /// Run the fronts without a membership, to measure the cost of the same load without it. Claims on members fail then.
     #[arg(long)]
     pub(super) without_peers: bool,
-    /// The earlier of two builds that are played against each other; set by `lab pairs`.
+    /// The earlier of two builds that are played against each other. Only `lab pairs` sets it.
     #[arg(skip)]
     pub(super) old: Option<PathBuf>,
-    /// The later of the two builds; default: this one.
+    /// The later of the two builds. `None` for this program.
     #[arg(skip)]
     pub(super) new: Option<PathBuf>,
-    /// Where the case has power losses: what fronts persist. `all` plays the three in turn: kept, then the two baselines.
+    /// What fronts retain over the case's power losses. `all` plays the case with each kind: kept, then the two baselines.
     #[arg(long, value_enum, default_value_t = RetentionArg::Preserved)]
     pub(super) memory: RetentionArg,
 }
@@ -54,14 +54,14 @@
 /// What fronts retain over a power loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub(crate) enum RetentionArg {
-    /// Pending set-ups, reconciled with the servers; service resumes step by step.
+    /// Pending set-ups, which are reconciled with the servers. Service resumes in stages.
     #[value(name = "kept")] // The flag's documented value.
     Preserved,
-    /// Nothing; the endpoint list is taken as it is.
+    /// Nothing. The endpoint list is used as it is.
     Forgotten,
-    /// Pending set-ups, not reconciled: service resumes at once.
+    /// Pending set-ups, which are not reconciled. Service resumes at once.
     Trusted,
-    /// Each of the three in turn; the verdict is that of the first.
+    /// Each of the three in turn. The exit status is that of the first.
     All,
 }
 
@@ -75,7 +75,7 @@
         return list_cases();
     }
     let case = read_case(args.name.as_deref().unwrap_or_default())?;
-    let clock = if args.virtually {
+    let clock = if args.simulated {
         ", in virtual time"
     } else {
         ""
@@ -84,18 +84,18 @@
         "fleet {}: seed {}, {}{clock}",
         case.name, args.seed, case.description
     );
-    if args.virtually {
+    if args.simulated {
         play_simulated(&case, args)
     } else {
         fleet_processes::play(&case, args)
     }
 }
 
-/// Plays a case with two builds of the program.
+/// Plays a case with two builds of the program in one fleet.
 ///
 /// # Errors
 ///
-/// As [`run`].
+/// The same as those of [`run`].
 pub(super) fn run_pair(
     old: PathBuf,
     new: Option<PathBuf>,
@@ -115,7 +115,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A case by its built-in name or its script's file.
+/// Reads a case, given by its built-in name or the path of its script.
 fn read_case(name: &str) -> Result<Case, CommandFailure> {
     let built_in = CASES.iter().find(|(known, _)| *known == name);
     let text = match built_in {
@@ -136,8 +136,8 @@
 }
 
 fn play_simulated(case: &Case, args: &FleetArgs) -> Result<ExitCode, CommandFailure> {
-    let mut net = SimulatedNetwork::for_case(case, args.fronts as usize, args.seed);
-    let played = crankpaddle_fault_simulation::play(case, &mut net)
+    let mut network = SimulatedNetwork::for_case(case, args.fronts as usize, args.seed);
+    let played = crankpaddle_fault_simulation::play(case, &mut network)
         .map_err(CommandFailure::invalid_input)?;
     let (passed, all) = print_claims(&played);
     println!(
@@ -147,7 +147,7 @@
     Ok(exit_code_of(passed == all))
 }
 
-/// Prints each claim with its verdict; returns how many hold, and how many there are.
+/// Prints each claim with its verdict. Returns the number of claims that hold and the number of all claims.
 pub(super) fn print_claims(played: &CaseResult) -> (usize, usize) {
     for claim in &played.claims {
         let verdict = if claim.holds { "kept" } else { "BROKEN" };
--- a/crates/cli/src/testbed/fleet_processes.rs
+++ b/crates/cli/src/testbed/fleet_processes.rs
@@ -1,5 +1,5 @@
-//! A case of a fleet played with front processes and sockets.
-use super::files::{read_scenario, temporary_folder, write_report};
+//! Plays a case of a fleet's membership with front processes and sockets.
+use super::files::{read_scenario, temporary_dir, write_report};
 use super::fleet_case::{print_claims, FleetArgs, RetentionArg};
 use super::judge::breach_line;
 use crate::failure::CommandFailure;
@@ -10,29 +10,29 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Processes at most: there is a socket for every ordered pair.
+/// Maximum number of front processes. There is a socket for each ordered pair of them.
 const MAX_PROCESSES: u32 = 100;
 
-/// Breaches, and faults, to print at most.
-const MAX_PRINTED: usize = 20;
+/// Maximum number of violations to print, and of faults.
+const MAX_PRINTED_LINES: usize = 20;
 
 const NANOSECONDS_PER_MILLISECOND: f64 = 1e6;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// Plays the case once for each kind of retention; the verdict is that of the first.
+/// Plays the case once for each kind of retention, and returns the exit code of the first.
 ///
 /// # Errors
 ///
-/// The case can't be played with processes, or one can't be started.
+/// The case can't be played with processes, or a process can't be started.
 pub(super) fn play(case: &Case, args: &FleetArgs) -> Result<ExitCode, CommandFailure> {
-    let mut verdicts = Vec::new();
+    let mut exit_codes = Vec::new();
     for memory in memories(args.memory) {
         if case.needs_disks() {
             eprintln!("-- what fronts keep: {}", printed_name(memory));
         }
-        verdicts.push(play_once(case, args, memory)?);
+        exit_codes.push(play_once(case, args, memory)?);
     }
-    Ok(verdicts.into_iter().next().unwrap_or(ExitCode::FAILURE))
+    Ok(exit_codes.into_iter().next().unwrap_or(ExitCode::FAILURE))
 }
 
 fn memories(retention: RetentionArg) -> Vec<Memory> {
@@ -44,7 +44,7 @@
     }
 }
 
-/// The name in the documented output.
+/// The name of a kind of retention in the documented output.
 fn printed_name(memory: Memory) -> &'static str {
     match memory {
         Memory::Preserved => "Kept",
@@ -56,10 +56,10 @@
 fn play_once(case: &Case, args: &FleetArgs, memory: Memory) -> Result<ExitCode, CommandFailure> {
     check_playable(case, args.fronts)?;
     crankpaddle_net::start(None);
-    let mut day = read_scenario(&case.day)?;
-    day.rate = args.rate.unwrap_or(day.rate);
+    let mut scenario = read_scenario(&case.day)?;
+    scenario.rate = args.rate.unwrap_or(scenario.rate);
     let plan = plan(args, memory)?;
-    let outcome = fleet::run(case, &day, &plan)?;
+    let outcome = fleet::run(case, &scenario, &plan)?;
     write_report(args.report.as_deref(), &outcome.records)?;
     print_outcome(case, args.fronts, &outcome);
     if !outcome.good() {
@@ -67,16 +67,16 @@
         return Ok(ExitCode::FAILURE);
     }
     if args.dir.is_none() {
-        let _ = std::fs::remove_dir_all(&plan.dir); // A folder left in the temporary directory is harmless.
+        let _ = std::fs::remove_dir_all(&plan.dir); // A directory that is left in the temporary directory is harmless.
     }
     Ok(ExitCode::SUCCESS)
 }
 
 fn check_playable(case: &Case, fronts: u32) -> Result<(), CommandFailure> {
     let reason = if fronts > MAX_PROCESSES {
-        "up to 100 fronts can be processes here; more in virtual time"
+        "at most 100 fronts can be processes; play more with --virtual"
     } else if case.needs_gossip_state() {
-        "it writes on the board, which no front does yet; play it with --virtual"
+        "it writes gossip entries, which front processes can't do yet; play it with --virtual"
     } else {
         return Ok(());
     };
@@ -88,15 +88,15 @@
 
 fn plan(args: &FleetArgs, memory: Memory) -> Result<Plan, CommandFailure> {
     let exe = program_or_this(args.old.as_ref())?;
-    let other = match args.old {
+    let other_exe = match args.old {
         Some(_) => Some(program_or_this(args.new.as_ref())?),
         None => None,
     };
     Ok(Plan {
         exe,
-        other,
+        other: other_exe,
         seed: args.seed,
-        dir: args.dir.clone().unwrap_or_else(temporary_folder),
+        dir: args.dir.clone().unwrap_or_else(temporary_dir),
         fronts: args.fronts,
         workers: 1,
         probe_every: args.probe_every.clone(),
@@ -105,6 +105,7 @@
     })
 }
 
+/// The path of a program; by default that of this one.
 fn program_or_this(program: Option<&PathBuf>) -> std::io::Result<PathBuf> {
     program.cloned().map_or_else(std::env::current_exe, Ok)
 }
@@ -112,10 +113,10 @@
 fn print_outcome(case: &Case, fronts: u32, outcome: &Outcome) {
     let (passed, all) = print_claims(&outcome.played);
     let verdict = &outcome.verdict;
-    for breach in verdict.breaches.iter().take(MAX_PRINTED) {
+    for breach in verdict.breaches.iter().take(MAX_PRINTED_LINES) {
         eprintln!("{}", breach_line(breach));
     }
-    for fault in outcome.faults.iter().take(MAX_PRINTED) {
+    for fault in outcome.faults.iter().take(MAX_PRINTED_LINES) {
         eprintln!("fault: {fault}");
     }
     eprintln!(
--- a/crates/cli/src/testbed/import.rs
+++ b/crates/cli/src/testbed/import.rs
@@ -1,37 +1,37 @@
-//! `crankpaddle lab import`: a script from a day file of the bench.
+//! `crankpaddle lab import`: converts a day file of the bench into a script.
 use crate::failure::CommandFailure;
 use clap::Args;
 use crankpaddle_testbed::import::{import, Fit};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// What is imported, and how it is scaled.
+/// The file to import, and how to scale it.
 #[derive(Args)]
 pub(crate) struct ImportArgs {
     /// The day file (JSON).
     file: PathBuf,
-    /// Where to write NAME.textproto and NAME-fleet.textproto.
+    /// Directory to which NAME.textproto and NAME-fleet.textproto are written.
     #[arg(long, default_value = ".")]
     into: PathBuf,
-    /// The scenario's name; default: the file's.
+    /// Name of the scenario; default: the file name without its extension.
     #[arg(long)]
     name: Option<String>,
-    /// Factor of all rates, so that one machine can carry them.
+    /// Factor applied to all rates, so that one machine can carry the load.
     #[arg(long, default_value_t = 0.1)]
     rates: f64,
-    /// Servers at most.
+    /// Maximum number of servers.
     #[arg(long, default_value_t = 24)]
     servers: u32,
-    /// Fronts at most.
+    /// Maximum number of fronts.
     #[arg(long, default_value_t = 4)]
     fronts: u32,
 }
 
-/// Writes the script and its fleet; prints the script's path.
+/// Writes the script and its fleet, and prints the path of the script.
 ///
 /// # Errors
 ///
-/// The file is no day file of the bench, or a file can't be read or written.
+/// The file is not a day file of the bench, or a file can't be read or written.
 pub(super) fn run(args: ImportArgs) -> Result<ExitCode, CommandFailure> {
     let text = std::fs::read_to_string(&args.file)
         .map_err(|error| CommandFailure::invalid_file(&args.file, error))?;
@@ -48,7 +48,7 @@
     write(&script_path, &imported.day)?;
     write(&args.into.join(&fleet_name), &imported.fleet)?;
     for fault_kind in &imported.left_out {
-        eprintln!("left out, it has no like here: {fault_kind}");
+        eprintln!("left out, not supported by the testbed: {fault_kind}");
     }
     println!("{}", script_path.display());
     Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/testbed/judge.rs
+++ b/crates/cli/src/testbed/judge.rs
@@ -1,4 +1,4 @@
-//! `crankpaddle lab judge`: the invariant checker over recorded sessions.
+//! `crankpaddle lab judge`: runs the invariant checker over recorded sessions.
 use super::files::{fleet_config, read_scenario};
 use crate::failure::{exit_code_of, CommandFailure};
 use crankpaddle_config::Config;
@@ -13,23 +13,23 @@
     invariant_checker::judge(&Rules::of(config, DRAIN_GRACE, TIMING_TOLERANCE), records)
 }
 
-/// The line for a breach of a rule.
+/// Formats the violation of a rule as a line.
 pub(super) fn breach_line(breach: &Breach) -> String {
     format!("rule {}: {}", breach.rule, breach.what)
 }
 
-/// Checks the records in a file.
+/// Checks the records in a file, and prints each violation and the verdict.
 ///
 /// # Errors
 ///
 /// The scenario or the records can't be read.
 pub(super) fn run(scenario: &str, records: &Path) -> Result<ExitCode, CommandFailure> {
-    let day = read_scenario(scenario)?;
-    let config = fleet_config(&day)?;
+    let scenario = read_scenario(scenario)?;
+    let config = fleet_config(&scenario)?;
     let verdict = check_records(&config, &read_records(records)?);
     for breach in &verdict.breaches {
         println!("{}", breach_line(breach));
     }
-    println!("day {}: {verdict}", day.name);
+    println!("day {}: {verdict}", scenario.name);
     Ok(exit_code_of(verdict.breaches.is_empty()))
 }
--- a/crates/cli/src/testbed/mod.rs
+++ b/crates/cli/src/testbed/mod.rs
@@ -1,4 +1,4 @@
-//! `crankpaddle lab`: the testbed's commands, one module each.
+//! `crankpaddle lab`: the testbed's commands. Each has a module.
 mod benchmarks;
 mod cross_zone_summary;
 mod files;
@@ -16,73 +16,71 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The testbed's commands.
+/// The subcommands of `crankpaddle lab`.
 #[derive(Subcommand)]
 pub(crate) enum TestbedCommand {
-    /// Play a scripted scenario against front processes and check it by what was on the sockets; exits 1 if a rule is
+    /// Play a scripted scenario against front processes, and check the traffic that was on the sockets. Exits 1 if a rule is
     /// violated, or an answer is missing or duplicated.
     #[command(
-        after_help = "Built-in days: trouble (60 s), smoke (8 s), and for traffic between halls quiet (20 s), astray (24 s), hall (60 s).\n\nExamples:\n  crankpaddle lab day trouble\n  \
+        after_help = "Built-in scenarios: trouble (60 s), smoke (8 s), and for cross-zone traffic quiet (20 s), astray (24 s), hall (60 s).\n\nExamples:\n  crankpaddle lab day trouble\n  \
         crankpaddle lab day my-day.textproto --seed 3 --report day.jsonl"
     )]
     Day(scenario::ScenarioArgs),
-    /// Play a case of a fleet's membership, with faults between its members, and check its claims; exits 1 if one fails.
+    /// Play a case of a fleet's membership with faults between its members, and check its claims. Exits 1 if a claim fails.
     #[command(
         after_help = "Examples:\n  crankpaddle lab fleet deaths\n  crankpaddle lab fleet my-case.textproto --fronts 12\n  crankpaddle lab fleet deaths --virtual --fronts 240 --seed 3\n  crankpaddle lab fleet --list"
     )]
     Fleet(fleet_case::FleetArgs),
-    /// Play two builds of the program against each other in one fleet; exits 1 if a claim or a rule is violated.
+    /// Play a case with two builds of the program in one fleet. Exits 1 if a claim or a rule is violated.
     #[command(
-        after_help = "The cases mixed (half and half, changing sides) and replace (one by the other under load, a tenth at a time, and back)\nare made for it.\n\nExample:\n  git worktree add ../earlier REVISION && (cd ../earlier && cargo build --release)\n  crankpaddle lab pairs ../earlier/target/release/crankpaddle replace --fronts 10"
+        after_help = "Built-in cases for two builds:\n  mixed    half of the fronts each; some are killed and restart with the other build\n  replace  one build replaces the other under load, a tenth of the fronts at a time, and back\n\nExample:\n  git worktree add ../earlier REVISION && (cd ../earlier && cargo build --release)\n  crankpaddle lab pairs ../earlier/target/release/crankpaddle replace --fronts 10"
     )]
     Pairs {
-        /// The earlier build's program.
+        /// The program of the earlier build.
         old: PathBuf,
         /// The case, and how it is played.
         #[command(flatten)]
         args: fleet_case::FleetArgs,
-        /// The later build's program; default: this one.
+        /// The program of the later build; default: this program.
         #[arg(long)]
         new: Option<PathBuf>,
     },
-    /// Check the records of a scenario against the rules, without playing it again.
+    /// Check the records of a played scenario against the rules.
     Judge {
-        /// The scenario of the records: a built-in name or a script.
+        /// The scenario of the records: a built-in scenario or the path of a script.
         day: String,
         /// The file that `lab day --report` wrote.
         records: PathBuf,
     },
-    /// Run the simulated servers and the list service of a scenario, without faults; prints what a front needs.
-    #[command(
-        after_help = "Then start a front by hand with the printed list service in its configuration."
-    )]
+    /// Run the simulated servers and the list service of a scenario, without faults. Prints the configuration of a front.
+    #[command(after_help = "A front can then be started by hand with the printed configuration.")]
     Servers {
-        /// The scenario whose fleet it is.
+        /// The scenario whose fleet is run.
         #[arg(default_value = "trouble")]
         day: String,
-        /// End after so many seconds.
+        /// End after this many seconds.
         #[arg(long, default_value_t = 3600)]
         seconds: u64,
     },
-    /// Run a scenario's players against a running front; prints how their calls ended.
+    /// Run the players of a scenario against a running front, and print how their calls ended.
     Players {
-        /// Where the front listens.
+        /// The address on which the front listens.
         front: SocketAddr,
-        /// The scenario whose players they are; of its faults only bursts and crowds are played.
+        /// The scenario whose players are run. Of its faults only bursts and crowds are played.
         #[arg(default_value = "trouble")]
         day: String,
         /// Seed of all random draws.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Measure a front's cost against a bare relay, alternating, with servers that answer at once; takes some minutes.
+    /// Measure the cost of a front against that of a bare relay, in turns, with servers that answer at once. Takes minutes.
     Bench(benchmarks::FrontBenchmarkArgs),
-    /// Measure the cost of usage accounting for each session second, against none, in one process on a simulated clock.
+    /// Measure the cost of usage accounting per session second, compared with none, in one process on a simulated clock.
     Account(benchmarks::AccountingBenchmarkArgs),
     /// Run the bare relay that `lab bench` compares with the front.
     #[command(hide = true)]
     Relay {
-        /// The servers.
+        /// Addresses of the servers.
         servers: Vec<SocketAddr>,
     },
     /// Convert a day file of the bench into a script and its fleet.
--- a/crates/cli/src/testbed/players.rs
+++ b/crates/cli/src/testbed/players.rs
@@ -1,4 +1,4 @@
-//! `crankpaddle lab players`: the players of a scenario against one running front.
+//! `crankpaddle lab players`: runs the players of a scenario against one running front.
 use super::files::{fleet_config, read_scenario};
 use super::judge::{breach_line, check_records};
 use crate::failure::{exit_code_of, CommandFailure};
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The one rule that holds for a front alone: each call has exactly one answer.
+/// The only rule that can be checked for a front alone: each call gets exactly one answer.
 const ANSWERED_ONCE_RULE: u8 = 1;
 
-/// Interval at which the end of the last player is looked for.
+/// Interval at which the number of remaining players is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Plays the arrivals of a scenario against a front; succeeds if each call was answered once.
+/// Plays the arrivals of a scenario against a front. Succeeds if there were calls and each was answered exactly once.
 ///
 /// # Errors
 ///
@@ -30,13 +30,13 @@
     scenario: &str,
     seed: u64,
 ) -> Result<ExitCode, CommandFailure> {
-    let day = read_scenario(scenario)?;
+    let scenario = read_scenario(scenario)?;
     crankpaddle_net::start(None);
-    let config = fleet_config(&day)?;
+    let config = fleet_config(&scenario)?;
     let recorder = Recorder::default();
-    let habits = scenario_runner::habits(&day);
+    let habits = scenario_runner::habits(&scenario);
     let players = Arc::new(PlayerPool::new(recorder.clone(), habits));
-    play_arrivals(front, &day, &config, seed, &players);
+    play_arrivals(front, &scenario, &config, seed, &players);
     while players.present_count() > 0 {
         std::thread::sleep(POLL_INTERVAL);
     }
@@ -46,23 +46,23 @@
     Ok(exit_code_of(all_answered_once && verdict.sessions > 0))
 }
 
-/// Starts each visit at its time.
+/// Starts the visit of each arrival at its time.
 fn play_arrivals(
     front: SocketAddr,
-    day: &Day,
+    scenario: &Day,
     config: &Config,
     seed: u64,
     players: &Arc<PlayerPool>,
 ) {
     let start = clock::now();
-    let end = start + day.length;
-    for Arrival { at, mut visit } in scenario_runner::arrivals(day, config, seed) {
+    let end = start + scenario.length;
+    for Arrival { at, mut visit } in scenario_runner::arrivals(scenario, config, seed) {
         std::thread::sleep((start + at).duration_since(clock::now()));
         visit.fronts = vec![FrontAddress {
             number: 0,
             address: front,
         }];
-        visit.watch = visit.watch.min(day.length - at);
+        visit.watch = visit.watch.min(scenario.length - at);
         let players = players.clone();
         spawn(Stack::Usual, move || players.visit(&visit, end));
     }
@@ -78,5 +78,8 @@
         "calls {}, answered once {}: played {}, refused {}, failed {}",
         verdict.sessions, verdict.answered_once, verdict.played, verdict.refused, verdict.failed
     );
-    println!("tries that found no front: {}", players.failed_connects());
+    println!(
+        "failed connections to the front: {}",
+        players.failed_connects()
+    );
 }
--- a/crates/cli/src/testbed/scenario.rs
+++ b/crates/cli/src/testbed/scenario.rs
@@ -1,6 +1,6 @@
-//! `crankpaddle lab day`: a scripted scenario against front processes.
+//! `crankpaddle lab day`: plays a scripted scenario against front processes.
 use super::cross_zone_summary::print_cross_zone_summary;
-use super::files::{read_scenario, temporary_folder, write_report};
+use super::files::{read_scenario, temporary_dir, write_report};
 use super::judge::breach_line;
 use crate::failure::CommandFailure;
 use clap::Args;
@@ -8,30 +8,30 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// How a scenario is played.
+/// The scenario, and how it is played.
 #[derive(Args)]
 pub(crate) struct ScenarioArgs {
-    /// A built-in name or a script's file.
+    /// A built-in scenario or the path of a script.
     day: String,
     /// Seed of all random draws; default: a random one, which is printed.
     #[arg(long)]
     seed: Option<u64>,
-    /// Write all records as JSON lines.
+    /// Write all records to this file as JSON lines.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
-    /// Keep configurations and the fronts' logs here; default: a temporary folder that is removed on success.
+    /// Directory for the fronts' configurations and logs; default: a temporary directory that is removed on success.
     #[arg(long, value_name = "DIR")]
     dir: Option<PathBuf>,
-    /// Worker threads of each front.
+    /// Number of worker threads of each front.
     #[arg(long, default_value_t = 1)]
     workers: u32,
-    /// Leave out the scenario's budgets for cross-zone traffic.
+    /// Ignore the scenario's budgets for cross-zone traffic.
     #[arg(long)]
     without_budgets: bool,
-    /// The fronts form a membership.
+    /// Let the fronts form a membership.
     #[arg(long)]
     peers: bool,
-    /// Breaches to print at most.
+    /// Maximum number of violations to print.
     #[arg(long, default_value_t = 20)]
     most: usize,
 }
@@ -42,44 +42,44 @@
 ///
 /// The scenario can't be read or played, or the records can't be written.
 pub(super) fn run(args: &ScenarioArgs) -> Result<ExitCode, CommandFailure> {
-    let mut day = read_scenario(&args.day)?;
+    let mut scenario = read_scenario(&args.day)?;
     if args.without_budgets {
-        day.fleet = day.fleet_without_budgets.clone();
+        scenario.fleet = scenario.fleet_without_budgets.clone();
     }
     let seed = args.seed.unwrap_or_else(|| rand::random::<u32>().into());
     crankpaddle_net::start(None);
     eprintln!(
         "day {}: seed {seed}, {} fronts, {} servers, {:.0} s",
-        day.name,
-        day.fronts,
-        day.servers,
-        day.seconds()
+        scenario.name,
+        scenario.fronts,
+        scenario.servers,
+        scenario.seconds()
     );
     let play = Play {
         exe: std::env::current_exe()?,
         seed,
-        dir: args.dir.clone().unwrap_or_else(temporary_folder),
+        dir: args.dir.clone().unwrap_or_else(temporary_dir),
         workers: args.workers,
         peers: args.peers,
     };
-    let outcome = scenario_runner::play(&day, &play)?;
+    let outcome = scenario_runner::play(&scenario, &play)?;
     write_report(args.report.as_deref(), &outcome.records)?;
     print_outcome(&outcome, args.most);
-    print_cross_zone_summary(&day, &outcome);
-    println!("day {}: {}", day.name, outcome.verdict);
+    print_cross_zone_summary(&scenario, &outcome);
+    println!("day {}: {}", scenario.name, outcome.verdict);
     if !outcome.good() {
         eprintln!("the fronts' logs are in {}", play.dir.display());
         return Ok(ExitCode::FAILURE);
     }
     if args.dir.is_none() {
-        let _ = std::fs::remove_dir_all(&play.dir); // A folder left in the temporary directory is harmless.
+        let _ = std::fs::remove_dir_all(&play.dir); // A directory that is left in the temporary directory is harmless.
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn print_outcome(outcome: &Outcome, most_breaches: usize) {
+fn print_outcome(outcome: &Outcome, max_breaches: usize) {
     let verdict = &outcome.verdict;
-    for breach in verdict.breaches.iter().take(most_breaches) {
+    for breach in verdict.breaches.iter().take(max_breaches) {
         println!("{}", breach_line(breach));
     }
     for fault in &outcome.faults {
--- a/crates/cli/src/testbed/servers.rs
+++ b/crates/cli/src/testbed/servers.rs
@@ -1,4 +1,4 @@
-//! `crankpaddle lab servers`: the simulated servers and the list service of a scenario, without faults.
+//! `crankpaddle lab servers`: runs the simulated servers and the list service of a scenario, without faults.
 use super::files::{fleet_config, read_scenario};
 use crate::failure::CommandFailure;
 use crankpaddle_testbed::list_service::ListService;
@@ -10,27 +10,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Seed of what the servers draw.
-const SEED: u64 = 1;
+/// Seed of the random draws of the servers.
+const SERVER_SEED: u64 = 1;
 
-/// Runs them for some seconds; prints the configuration of a front for them.
+/// Runs them for this many seconds, and prints the configuration of a front that uses them.
 ///
 /// # Errors
 ///
 /// The scenario can't be read, or a socket can't be opened.
 pub(super) fn run(scenario: &str, seconds: u64) -> Result<ExitCode, CommandFailure> {
-    let day = read_scenario(scenario)?;
+    let scenario = read_scenario(scenario)?;
     crankpaddle_net::start(None);
-    let config = Arc::new(fleet_config(&day)?);
-    let layout = scenario_runner::layout(&day, SEED);
+    let config = Arc::new(fleet_config(&scenario)?);
+    let layout = scenario_runner::layout(&scenario, SERVER_SEED);
     let fleet = Fleet::start(config.clone(), &layout, Recorder::default())?;
-    let list = ListService::start_for(&fleet, day.list_delay)?;
+    let list = ListService::start_for(&fleet, scenario.list_delay)?;
     let front = script::front_block(0, 1, &config.zones[0], &list.address.to_string(), "");
     println!(
-        "# {} servers; the list service is at {}. A front for them:",
-        day.servers, list.address
+        "# {} servers; the list service is at {}. Configuration of a front for them:",
+        scenario.servers, list.address
     );
-    println!("{front}{}", day.fleet);
+    println!("{front}{}", scenario.fleet);
     std::thread::sleep(Duration::from_secs(seconds));
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/traffic.rs
+++ b/crates/cli/src/traffic.rs
@@ -13,15 +13,15 @@
 /// A front that does not answer within this time counts as unreachable.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Allowed intervals between two polls of `traffic watch`, seconds.
+/// Allowed intervals between two polls of `traffic watch`, in seconds.
 const POLL_INTERVAL_SECONDS: RangeInclusive<f64> = 0.01..=86_400.0;
 
 /// The commands on cross-zone traffic.
 #[derive(Subcommand)]
 pub(crate) enum TrafficCommand {
-    /// Cross-zone bytes by zones, class, tenant and hour; budgets against their use; overdrafts with their cause.
+    /// Report cross-zone bytes by zones, class, tenant and hour, the use of each budget, and overdrafts by cause.
     #[command(
-        after_help = "A front that is named by its address and by its file counts once: its latest report.\n\nExamples:\n  \
+        after_help = "A front that is given by its address and by its file counts once, with its latest report.\n\nExamples:\n  \
         crankpaddle traffic report 127.0.0.1:7400 127.0.0.1:7401\n  \
         crankpaddle traffic report --file front-0.traffic --form csv > traffic.csv\n  \
         crankpaddle traffic report 127.0.0.1:7400 --form plot > traffic.svg"
@@ -33,38 +33,38 @@
         #[arg(long, value_enum, default_value = "table")]
         form: OutputFormat,
     },
-    /// Budgets against their use, polled until interrupted.
+    /// Print the use of each budget at an interval, until interrupted.
     Watch {
         #[command(flatten)]
         sources: Sources,
         /// Seconds between polls.
-        #[arg(long, default_value_t = 2.0, value_parser = poll_interval)]
+        #[arg(long, default_value_t = 2.0, value_parser = parse_poll_interval)]
         every: f64,
-        /// End after so many polls.
+        /// End after this many polls.
         #[arg(long)]
         looks: Option<u64>,
     },
 }
 
-/// An interval that is no number of seconds in the allowed range.
+/// The error for an interval that is not a number of seconds in the allowed range.
 #[derive(Debug, thiserror::Error)]
 #[error("allowed: 0.01 to 86400 seconds")]
 struct PollIntervalError;
 
-fn poll_interval(text: &str) -> Result<f64, PollIntervalError> {
+fn parse_poll_interval(text: &str) -> Result<f64, PollIntervalError> {
     match text.parse::<f64>() {
         Ok(seconds) if POLL_INTERVAL_SECONDS.contains(&seconds) => Ok(seconds),
         _ => Err(PollIntervalError),
     }
 }
 
-/// Whose reports are merged.
+/// The fronts and files whose reports are merged.
 #[derive(Args)]
 pub(crate) struct Sources {
-    /// Running fronts.
+    /// Addresses of running fronts.
     #[arg(value_name = "ADDRESS", required_unless_present = "file")]
     fronts: Vec<SocketAddr>,
-    /// Reports that fronts persisted (front.traffic_file).
+    /// Files in which fronts persisted their reports (front.traffic_file).
     #[arg(long, value_name = "FILE")]
     file: Vec<PathBuf>,
 }
@@ -78,23 +78,24 @@
 /// The output format of a report.
 #[derive(Clone, Copy, ValueEnum)]
 pub(crate) enum OutputFormat {
-    /// Columns to read.
+    /// A table to read.
     Table,
-    /// RFC 4180, a line for each flow and hour.
+    /// CSV (RFC 4180) with a line for each flow and hour.
     Csv,
-    /// As fronts report it.
+    /// JSON, in the format of the fronts' reports.
     Json,
-    /// SVG of the latest minutes.
+    /// An SVG plot of the latest minutes.
     Plot,
 }
 
-/// The reports merged, and the sources that had none: a partial report is never passed off as complete.
-struct Collected {
+/// The merged report, and the sources that had none. They are printed, so that a partial report is not taken for a complete
+/// one.
+struct MergedReport {
     report: TrafficReport,
     missing: Vec<String>,
 }
 
-impl Collected {
+impl MergedReport {
     fn print_missing(&self) {
         for source in &self.missing {
             eprintln!("missing: {source}");
@@ -102,7 +103,7 @@
     }
 }
 
-fn collect(sources: &Sources) -> Collected {
+fn fetch_and_merge(sources: &Sources) -> MergedReport {
     let mut reports = Vec::new();
     let mut missing = Vec::new();
     let fronts = sources
@@ -119,7 +120,7 @@
             Err(error) => missing.push(format!("{name}: {error}")),
         }
     }
-    Collected {
+    MergedReport {
         report: merge(reports),
         missing,
     }
@@ -135,14 +136,14 @@
 }
 
 fn print_report(sources: &Sources, format: OutputFormat) -> Result<ExitCode, CommandFailure> {
-    let collected = collect(sources);
-    let text = render(&collected.report, format)?;
+    let merged = fetch_and_merge(sources);
+    let text = render(&merged.report, format)?;
     std::io::stdout().write_all(text.as_bytes())?;
-    collected.print_missing();
-    Ok(exit_code_of(collected.missing.is_empty()))
+    merged.print_missing();
+    Ok(exit_code_of(merged.missing.is_empty()))
 }
 
-/// Succeeds when any source had a report at any poll.
+/// Prints a line at each poll. Succeeds if any source had a report at any poll.
 fn watch(
     sources: &Sources,
     interval: Duration,
@@ -156,10 +157,10 @@
         if poll > 0 {
             std::thread::sleep(interval);
         }
-        let collected = collect(sources);
-        all_missing &= collected.missing.len() == sources.count();
-        writeln!(std::io::stdout(), "{}", watch_line(&collected.report))?;
-        collected.print_missing();
+        let merged = fetch_and_merge(sources);
+        all_missing &= merged.missing.len() == sources.count();
+        writeln!(std::io::stdout(), "{}", watch_line(&merged.report))?;
+        merged.print_missing();
     }
     Ok(exit_code_of(!all_missing))
 }
--- a/crates/cli/tests/deployments.rs
+++ b/crates/cli/tests/deployments.rs
@@ -1,7 +1,7 @@
-//! The front node serves any customer's deployment: no name of a particular one is in its sources.
+//! The sources of the front node contain no name of a particular deployment, because the node serves any customer's.
 use std::path::{Path, PathBuf};
 
-/// The packages that `crankpaddle node` is made of.
+/// The packages that make up `crankpaddle node`.
 const NODE_PACKAGES: [&str; 9] = [
     "time",
     "policy",
@@ -55,7 +55,7 @@
     }
 }
 
-/// The code of a source without its comments, up to its own tests.
+/// The lines of a source file before its unit tests, without comments.
 fn code_of(text: &str) -> String {
     let code = text.split("#[cfg(test)]").next().unwrap_or_default();
     code.lines()
@@ -64,7 +64,7 @@
         .join("\n")
 }
 
-/// The quoted values of `name =` and `zones =` in the deployments of this repository.
+/// The quoted values of `name =` and `zones =` in the deployments of this repository (`deploy/sites`).
 fn repository_names() -> Vec<String> {
     let sites = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/sites");
     let changes = std::fs::read_dir(sites)
@@ -73,7 +73,10 @@
     let texts: Vec<String> = changes
         .filter_map(|path| std::fs::read_to_string(path).ok())
         .collect();
-    assert!(texts.len() >= 2, "two deployments of our own");
+    assert!(
+        texts.len() >= 2,
+        "fewer than two deployments in deploy/sites"
+    );
     let named = |line: &&str| line.starts_with("name =") || line.starts_with("zones =");
     let lines = texts.iter().flat_map(|text| text.lines().filter(named));
     lines
@@ -89,22 +92,23 @@
     for package in NODE_PACKAGES {
         collect_sources(&crates.join(package).join("src"), &mut files);
     }
-    assert!(files.len() > 50, "{} sources", files.len());
-    let own = repository_names();
+    assert!(files.len() > 50, "only {} source files", files.len());
+    let repository_names = repository_names();
     assert!(
-        own.iter().any(|name| name == "dispatch-call") && own.iter().any(|name| name == "quay"),
-        "{own:?}"
+        repository_names.iter().any(|name| name == "dispatch-call")
+            && repository_names.iter().any(|name| name == "quay"),
+        "{repository_names:?}"
     );
     let names: Vec<&str> = DEPLOYMENT_NAMES
         .into_iter()
-        .chain(own.iter().map(String::as_str))
+        .chain(repository_names.iter().map(String::as_str))
         .collect();
     for file in files {
         let code = code_of(&std::fs::read_to_string(&file).unwrap()).to_lowercase();
         for name in &names {
             assert!(
                 !code.contains(&format!("\"{name}")),
-                "{}: {name}",
+                "{} contains {name:?}",
                 file.display()
             );
         }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Front processes that form a membership: killed, stopped, shut down and restarted. Observed by a member of the fleet that the
-//! test runs itself, over a socket.
+//! Front processes that form a membership are killed, stopped, shut down and restarted. The test observes them over a socket
+//! as a further member of the fleet.
 mod support;
 
 use crankpaddle_membership::{MemberChange, MemberState, Membership, MembershipConfig, Output};
@@ -13,7 +13,7 @@
     folder, front_command, isolated_config, program, run, text, RunningProgram, EXAMPLE_CONFIG, KEY,
 };
 
-/// Bound of each wait for a change of membership.
+/// Timeout of each wait for a change of membership.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Interval between two health checks of a peer.
@@ -25,8 +25,8 @@
     RunningProgram::start(&mut front_command(&path))
 }
 
-/// The inodes of the sockets that a front has open. A descriptor that is closed while they are read is left out: the front
-/// keeps trying to connect to its list service.
+/// Returns the inodes of a front's open sockets. A descriptor that is closed meanwhile is skipped, which happens because the
+/// front keeps trying to connect to its list service.
 fn open_sockets(process: &Process) -> Vec<u64> {
     process
         .fd()
@@ -49,7 +49,7 @@
         .count()
 }
 
-/// A member that the test runs.
+/// The member that the test runs.
 struct Observer {
     membership: Membership,
     socket: UdpSocket,
@@ -57,6 +57,7 @@
     changes: Vec<ObservedChange>,
 }
 
+/// A change of membership, and when it was observed.
 struct ObservedChange {
     at: Instant,
     change: MemberChange,
@@ -90,12 +91,12 @@
         self.socket.local_addr().unwrap()
     }
 
-    /// The membership's clock, which begins at the observer's start.
+    /// Time on the membership's clock, which starts with the observer.
     fn now(&self) -> Time {
         Time(self.started_at.elapsed().as_nanos() as u64)
     }
 
-    /// Receives one datagram at most, and lets timers expire.
+    /// Receives at most one datagram, and handles expired timers.
     fn step(&mut self) {
         let mut outputs = Vec::new();
         let mut bytes = [0u8; 2048];
@@ -107,14 +108,14 @@
         let now = self.now();
         self.membership.expire(now, &mut outputs);
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Send { address, bytes, .. } => {
-                let _ = self.socket.send_to(&bytes, address); // The front may have ended.
+                let _ = self.socket.send_to(&bytes, address); // An error is ignored, because the front may have ended.
             }
             Output::MemberChanged(change) => self.changes.push(ObservedChange {
                 at: Instant::now(),
@@ -124,13 +125,13 @@
         }
     }
 
-    /// Runs until a condition holds; returns how long it took.
+    /// Runs the membership until a condition holds, and returns how long it took.
     fn run_until(&mut self, what: &str, holds: impl Fn(&Observer) -> bool) -> Duration {
         let since = Instant::now();
         while !holds(self) {
             assert!(
                 since.elapsed() < CHANGE_TIMEOUT,
-                "{what}: waited in vain; {:?}",
+                "timed out: {what}; {:?}",
                 self.membership.members()
             );
             self.step();
@@ -161,7 +162,7 @@
         self.changes_of(name, since).any(|change| change.restarted)
     }
 
-    /// Fails if any of these members was declared failed since then.
+    /// Checks that none of these members was declared failed since then.
     fn assert_none_declared_failed(&self, names: &[&str], since: Instant) {
         for name in names {
             let states: Vec<MemberState> = self
@@ -173,13 +174,13 @@
     }
 }
 
-fn peers_block(name: &str, key: &Path, seed: SocketAddr) -> String {
+fn peers_section(name: &str, key: &Path, seed: SocketAddr) -> String {
     format!(
         "peers {{ name: {name:?} listen: \"127.0.0.1:0\" seed: \"{seed}\" key_file: {key:?} probe_every: \"100ms\" }}\n"
     )
 }
 
-/// Four fronts and the observer, who is their seed.
+/// Four fronts, and the observer as their seed.
 struct TestFleet {
     observer: Observer,
     start: Box<dyn Fn(&str) -> RunningProgram>,
@@ -196,9 +197,9 @@
         let mut observer = Observer::start();
         let seed = observer.address();
         let start =
-            Box::new(move |name: &str| start_front(&dir, name, &peers_block(name, &key, seed)));
+            Box::new(move |name: &str| start_front(&dir, name, &peers_section(name, &key, seed)));
         let fronts = NAMES.iter().map(|name| start(name)).collect();
-        observer.run_until("all meet", |observer| {
+        observer.run_until("all fronts are alive", |observer| {
             observer.sees_all(&NAMES, MemberState::Alive)
         });
         TestFleet {
@@ -211,54 +212,54 @@
     fn kill_a(&mut self) {
         let since = Instant::now();
         self.fronts[0].signal(Signal::KILL);
-        let took = self.observer.run_until("a's death is known", |observer| {
+        let took = self.observer.run_until("a is declared failed", |observer| {
             observer.sees("a", MemberState::Dead)
         });
         eprintln!(
-            "a death is known after {took:?}, {} rounds",
+            "a killed front is declared failed after {took:?}, {} probe intervals",
             took.as_millis() / PROBE_INTERVAL.as_millis()
         );
         self.observer
             .assert_none_declared_failed(&["b", "c", "d"], since);
     }
 
-    /// The same name without any state is a new incarnation, known at once.
+    /// Restarts `a`. A front with the same name and without any state is recognized as a new incarnation.
     fn restart_a(&mut self) {
         let since = Instant::now();
         self.fronts[0] = (self.start)("a");
         self.observer
-            .run_until("a's new life is known", |observer| {
+            .run_until("the restart of a is observed", |observer| {
                 observer.sees("a", MemberState::Alive) && observer.saw_restart("a", since)
             });
     }
 
-    /// Stopped until the others declare it failed; when continued it recovers and declares no other failed.
+    /// Stops `b` until the others declare it failed. Then `b` must recover without declaring any other front failed.
     fn stop_and_continue_b(&mut self) {
         let since = Instant::now();
         let b = &self.fronts[1];
         b.signal(Signal::STOP);
-        self.observer.run_until("b is given up", |observer| {
+        self.observer.run_until("b is declared failed", |observer| {
             observer.sees("b", MemberState::Dead)
         });
         drop(b.logged());
         b.signal(Signal::CONT);
-        let took = self.observer.run_until("b is back", |observer| {
+        let took = self.observer.run_until("b is alive again", |observer| {
             observer.sees("b", MemberState::Alive)
         });
-        eprintln!("one that stood still is back after {took:?}");
-        let back_at = Instant::now();
-        self.observer.run_until("some rounds pass", |_| {
-            back_at.elapsed() > 20 * PROBE_INTERVAL
+        eprintln!("a stopped front is alive again {took:?} after it continues");
+        let recovered_at = Instant::now();
+        self.observer.run_until("20 probe intervals pass", |_| {
+            recovered_at.elapsed() > 20 * PROBE_INTERVAL
         });
-        // Only its own findings count; what others reported may be logged late.
-        let accusations: Vec<String> = b
+        // Only failures that it detected itself count. It may log those that others reported later.
+        let detected_failures: Vec<String> = b
             .logged()
             .into_iter()
             .filter(|line| line.contains("Dead") && line.contains("\"by\":\"b\""))
             .collect();
         assert!(
-            accusations.is_empty(),
-            "who stood still accused others: {accusations:?}"
+            detected_failures.is_empty(),
+            "b declared others failed after it was stopped: {detected_failures:?}"
         );
         self.observer
             .assert_none_declared_failed(&["a", "c", "d"], since);
@@ -278,7 +279,7 @@
 
     fn shut_down_c(&mut self) {
         self.fronts[2].signal(Signal::TERM);
-        self.observer.run_until("c has left", |observer| {
+        self.observer.run_until("c has left the fleet", |observer| {
             observer.sees("c", MemberState::Left)
         });
         assert!(self.observer.sees_all(&["a", "b", "d"], MemberState::Alive));
@@ -300,7 +301,7 @@
     let dir = folder("fleet-none");
     let key = dir.join("key");
     std::fs::write(&key, KEY).unwrap();
-    let peers = peers_block("member", &key, "127.0.0.1:9".parse().unwrap());
+    let peers = peers_section("member", &key, "127.0.0.1:9".parse().unwrap());
 
     let without_peers = start_front(&dir, "alone", "");
     let with_peers = start_front(&dir, "member", &peers);
@@ -310,7 +311,7 @@
 }
 
 #[test]
-fn the_check_names_each_problem_of_a_peers_block() {
+fn the_check_reports_each_problem_of_a_peers_section() {
     let path = folder("fleet-check").join("bad.textproto");
     let check = |peers: &str| {
         std::fs::write(&path, format!("{EXAMPLE_CONFIG}{peers}")).unwrap();
@@ -325,7 +326,10 @@
     let problems = text(&invalid.stderr);
     assert_eq!(invalid.status.code(), Some(2));
     for what in ["name", "listen", "seed", "key_file", "20 ms"] {
-        assert!(problems.contains(what), "{what} is not told: {problems}");
+        assert!(
+            problems.contains(what),
+            "{what} is not reported: {problems}"
+        );
     }
     assert_eq!(valid.status.code(), Some(0));
 }
--- a/crates/cli/tests/fleet_case.rs
+++ b/crates/cli/tests/fleet_case.rs
@@ -1,16 +1,17 @@
-//! `lab fleet` with front processes and faults between every pair of them: a case whose claims hold, one whose claims fail, and
-//! an invalid one. Only claims that hold on a busy machine are made here: that no running member is suspected needs processors
-//! that are scheduled within some tens of milliseconds at this pace, and is measured at the usual one (`docs/fleet.md`).
+//! `lab fleet` with front processes and faults between each pair of them: a case whose claims hold, one whose claims fail,
+//! and an invalid one. The cases only make claims that hold on a busy machine. That no running member is suspected is not
+//! claimed: at this probe interval it requires that processes are scheduled within some tens of milliseconds. It is measured
+//! at the default interval (`docs/fleet.md`).
 mod support;
 
 use std::process::Output;
 use std::sync::{Mutex, PoisonError};
 use support::{folder, program, text};
 
-/// Held while a fleet runs: one at a time, so that they don't compete for processors.
+/// Held while a fleet runs. The fleets of the tests run one at a time, so that they don't compete for processors.
 static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
-/// What a played case printed, and how it exited.
+/// The exit status of a played case, and what it printed.
 struct PlayedCase {
     status: Option<i32>,
     stdout: String,
@@ -67,7 +68,7 @@
 "#;
 
 fn play(name: &str, script: &str, fronts: u32) -> PlayedCase {
-    let _guard = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let _lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let dir = folder(&format!("fleet-case-{name}"));
     let case = dir.join("case.textproto");
     std::fs::write(&case, script).unwrap();
@@ -104,7 +105,7 @@
         .unwrap_or_default();
     assert!(
         !sessions.contains(" 0 played"),
-        "players came to no session: {sessions}"
+        "no session was played: {sessions}"
     );
 }
 
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,4 @@
-//! The front node as its platform starts it: configuration, signals, exit status, and the resources of its process.
+//! The front node's process as the platform starts it: configuration, signals, exit status, and the resources it uses.
 mod node_harness;
 mod support;
 
@@ -16,7 +16,8 @@
 use std::time::{Duration, Instant};
 use support::{text, RunningProgram};
 
-/// Runs a node that must not start: exit status 2, nothing on standard output; returns its one line of explanation.
+/// Runs a node that must not start: it exits with status 2 and prints nothing on standard output. Returns its one line on
+/// standard error.
 fn rejection(command: &mut Command) -> String {
     let output = command.output().unwrap();
     let stderr = text(&output.stderr);
@@ -31,20 +32,20 @@
     let absent = file("absent.json");
     let broken = file("broken.json");
     std::fs::write(&broken, "{\"name\":").unwrap();
-    let lacking = file("lacking.json");
-    let mut lacking_cells = config(&directory());
-    lacking_cells["settings"]["family-info"]
+    let incomplete = file("incomplete.json");
+    let mut config_without_cells = config(&directory());
+    config_without_cells["settings"]["family-info"]
         .as_object_mut()
         .unwrap()
         .remove("cells");
-    write_config(&lacking, &lacking_cells);
+    write_config(&incomplete, &config_without_cells);
 
     let with_config = |path: &Path| rejection(node_command().arg("--config").arg(path));
 
     assert!(rejection(&mut node_command()).contains("NODE_CONFIG"));
     assert!(with_config(&absent).contains("absent.json"));
     assert!(with_config(&broken).contains("broken.json"));
-    assert!(with_config(&lacking).contains("cells"));
+    assert!(with_config(&incomplete).contains("cells"));
 }
 
 #[test]
@@ -54,25 +55,25 @@
     let path = file("node.json");
     write_config(&path, &config(&first));
     let mut node = start_node(&path);
-    wait_for_poll(&first, "the directory is asked");
+    wait_for_poll(&first, "the directory is polled");
 
     write_config(&path, &config(&second));
     node.signal(Signal::HUP);
     node.wait_for_log("reloaded");
-    wait_for_poll(&second, "the new directory is asked");
+    wait_for_poll(&second, "the new directory is polled");
 
     std::fs::write(&path, "{").unwrap();
     node.signal(Signal::HUP);
     assert!(node.wait_for_log("not reloaded").contains("node.json"));
     drain_polls(&second);
-    wait_for_poll(&second, "it is asked still");
+    wait_for_poll(&second, "the new directory is still polled");
 
     assert_rejects_set_up_with_retry_after(&node);
     node.signal(Signal::TERM);
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// No known server has the title, so the set-up is rejected at once, with a time to retry after.
+/// Checks that a set-up is rejected at once with a retry-after time, because no known server has its title.
 fn assert_rejects_set_up_with_retry_after(node: &RunningProgram) {
     let mut viewer = node.connect();
     send_line(&mut viewer, &set_up_request());
@@ -82,7 +83,7 @@
     assert_eq!(answer["opts"]["wait"], "1000");
 }
 
-/// A node with one pending set-up at a server, one viewer, and a directory that was changed by a reload.
+/// A node with one viewer, whose set-up is pending at one server, and with a directory that was changed by a reload.
 struct BusyNode {
     node: RunningProgram,
     server: TcpListener,
@@ -103,7 +104,7 @@
         config["known"] = json!({"seq": 1, "results": [{"seq": 1, "fleet": {"generation": 1, "reset": true, "instances": [
             {"instanceId": "s-00c41f7a", "hostPort": server.local_addr().unwrap().to_string(), "zone": "east",
             "machineType": "std", "cell": 0, "lifecycle": "ready", "weight": 1, "startedAtMs": 0}]}}]});
-        // Fields of other programs' configurations are not the node's: none of them enables anything.
+        // These fields belong to the configuration of a front. A node ignores them, so they must not enable anything.
         config["peers"] = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": ["127.0.0.1:9"]});
         config["store"] =
             json!({"name": "n1", "dir": store.to_string_lossy(), "key_file": "/dev/null"});
@@ -111,11 +112,11 @@
         let node = start_node(&path);
         let mut viewer = node.connect();
         send_line(&mut viewer, &set_up_request());
-        let (server_connection, _) = server.accept().unwrap(); // The set-up's connection; it is never answered.
+        let (server_connection, _) = server.accept().unwrap(); // The connection of the set-up, which is never answered.
         config["nameserver"] = json!(second.local_addr().unwrap().to_string());
         write_config(&path, &config);
         node.signal(Signal::HUP);
-        wait_for_poll(&second, "the new directory is asked");
+        wait_for_poll(&second, "the new directory is polled");
         BusyNode {
             node,
             server,
@@ -147,10 +148,13 @@
         .filter(|stat| stat.ppid == pid)
         .map(|stat| stat.comm)
         .collect();
-    assert!(children.is_empty(), "it started {children:?}");
+    assert!(
+        children.is_empty(),
+        "the node has child processes: {children:?}"
+    );
 }
 
-/// The inodes of the sockets that the node has open. Fails if a descriptor can't be read, or is one of io_uring.
+/// Returns the inodes of the node's open sockets. Fails if a descriptor can't be read or belongs to io_uring.
 fn open_sockets_without_io_uring(process: &Process) -> Vec<u64> {
     let mut sockets = Vec::new();
     for descriptor in process.fd().unwrap() {
@@ -163,7 +167,7 @@
     sockets
 }
 
-/// One listener, one connection to the server, one of the viewer, and no other.
+/// Checks that the TCP sockets are one listener, one connection to the server and one connection of the viewer.
 fn assert_tcp_sockets(process: &Process, open: &[u64], listen: SocketAddr, server: SocketAddr) {
     let mut listeners = 0;
     let mut server_connections = 0;
@@ -176,7 +180,7 @@
             TcpState::Listen if socket.local_address == listen => listeners += 1,
             _ if socket.remote_address == server => server_connections += 1,
             _ if socket.local_address == listen => viewer_connections += 1,
-            _ => panic!("a TCP socket of no known use: {socket:?}"),
+            _ => panic!("an unexpected TCP socket: {socket:?}"),
         }
     }
     assert_eq!(
@@ -206,25 +210,25 @@
     let inodes: Vec<u64> = tcp.chain(udp).collect();
     assert!(
         !inodes.iter().any(|inode| open.contains(inode)),
-        "a socket over IPv6"
+        "there is a socket over IPv6"
     );
 }
 
-/// Signals arrive over a pair of sockets of its own, which has no name to connect to.
+/// Checks that no Unix socket has a name. The signal handler uses an unnamed pair of sockets, to which nothing can connect.
 fn assert_no_named_unix_socket(process: &Process, open: &[u64]) {
     let named = process
         .unix()
         .unwrap()
         .into_iter()
         .filter(|socket| open.contains(&socket.inode) && socket.path.is_some());
-    assert_eq!(named.count(), 0, "a Unix socket with a name");
+    assert_eq!(named.count(), 0, "there is a Unix socket with a name");
 }
 
-/// The platform's requirements on the process (`docs/front-node.md`): one process, the C library linked dynamically, TCP
-/// and UDP over IPv4 at known addresses alone. Fails if anything else (another listener, a peer's socket, a helper process)
-/// is started by `node`.
+/// Checks the platform's requirements on the process (`docs/front-node.md`): one process, the C library linked dynamically,
+/// and TCP and UDP over IPv4 only at known addresses. Guards against any other resource that `node` may open, such as another
+/// listener, a socket for peers or a child process.
 #[test]
-fn the_node_is_one_process_with_a_listener_its_connections_and_the_directory_socket_only() {
+fn the_node_is_one_process_that_opens_only_the_required_sockets() {
     let busy = BusyNode::start();
 
     let process = busy.node.process();
@@ -235,7 +239,7 @@
     assert_tcp_sockets(&process, &open, listen, busy.server.local_addr().unwrap());
     assert_udp_only_to(&process, &open, busy.directory.local_addr().unwrap());
     assert_no_ipv6(&process, &open);
-    assert!(!busy.store.exists(), "a folder of its own");
+    assert!(!busy.store.exists(), "the node created a store");
     assert_no_named_unix_socket(&process, &open);
 }
 
@@ -246,7 +250,7 @@
 }
 
 fn start_and_check(config: &Path) -> ReadyNode {
-    let since = Instant::now();
+    let started_at = Instant::now();
     let node = start_node(config);
     let mut viewer = node.connect();
     let health_check = json!({"verb": "ECHO", "tag": "00000000000000ff", "opts": {}, "rc": 0});
@@ -255,7 +259,7 @@
     assert!(line.contains("ECHOED"), "{line}");
     ReadyNode {
         node,
-        took: since.elapsed(),
+        took: started_at.elapsed(),
     }
 }
 
@@ -272,9 +276,9 @@
     })
 }
 
-/// The time of restart of a fleet of processes that are killed and started at once.
+/// Measures how long a fleet takes to be ready again when all its processes are killed and started at the same time.
 #[test]
-fn thirty_processes_that_restart_at_once_are_ready_within_ten_seconds() {
+fn nine_in_ten_of_thirty_restarted_processes_are_ready_within_ten_seconds() {
     const NODES: usize = 30;
     let directory = directory();
     let mut configs = Vec::new();
--- a/crates/cli/tests/node_harness/mod.rs
+++ b/crates/cli/tests/node_harness/mod.rs
@@ -1,4 +1,4 @@
-//! A front node's command and configuration, its directory, and messages of its viewers.
+//! Support for tests of a front node's process: its command, its configuration, its directory and messages of its viewers.
 #![allow(dead_code)] // Each test binary uses a part of it.
 use crate::support::{folder, program, RunningProgram, TIMEOUT};
 use serde_json::{json, Value};
@@ -29,7 +29,7 @@
     std::fs::write(path, config.to_string()).unwrap();
 }
 
-/// A valid configuration whose directory is this socket.
+/// A valid configuration with the address of this socket as that of the directory.
 pub(crate) fn config(directory: &UdpSocket) -> Value {
     json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 0.5, "memory_mb": 32, "sockets": 256},
@@ -45,7 +45,7 @@
             "rules": {"cold-share": 0.4, "cold": 1_000_000_000u64, "tip-multiple": 2.5, "fall": 1_000_000_000u64}}})
 }
 
-/// A directory that is polled and never answers.
+/// The socket of a directory that is polled and never answers.
 pub(crate) fn directory() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -56,7 +56,7 @@
     directory.recv(&mut [0u8; 512]).expect(what);
 }
 
-/// Removes the polls that were received already.
+/// Discards the polls that were already received.
 pub(crate) fn drain_polls(directory: &UdpSocket) {
     directory.set_nonblocking(true).unwrap();
     while directory.recv(&mut [0u8; 512]).is_ok() {}
@@ -73,7 +73,7 @@
     line
 }
 
-/// A set-up request for a title that only servers in the configuration may have.
+/// A set-up request that only a server of the configuration's known list can serve.
 pub(crate) fn set_up_request() -> Value {
     json!({"verb": "START", "tag": "9b1f03aa5c7e2d41", "blob": "x", "opts": {"class": "preview",
         "left": "1500", "key": "7f3a9c21e0b4d655", "extras": "home:0;copies:1;top:1;viewer:00000000b4d65521"}})
--- a/crates/cli/tests/node_shutdown.rs
+++ b/crates/cli/tests/node_shutdown.rs
@@ -1,4 +1,4 @@
-//! A front node as a process, among clients that do not stop sending when it is to stop.
+//! The graceful shutdown of a front node's process while its clients continue to send set-ups.
 mod node_harness;
 #[path = "../../node/tests/support/mod.rs"]
 mod platform;
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use support::RunningProgram;
 
-/// The longest deadline that counts for the kill after SIGTERM, and what is added to it.
+/// Time from SIGTERM to SIGKILL: the longest deadline that the platform takes into account, plus its grace period.
 const KILL_AFTER: Duration = Duration::from_millis(3_700);
 
 /// A node with one server, which accepts every set-up.
@@ -43,11 +43,11 @@
         write_config(&path, &config);
         let [server] = servers;
         let stop = Arc::new(AtomicBool::new(false));
-        let until = stop.clone();
+        let stop_server = stop.clone();
         Platform {
             node: start_node(&path),
             _directory: directory,
-            server: std::thread::spawn(move || accept_set_ups(server, &until)),
+            server: std::thread::spawn(move || accept_set_ups(server, &stop_server)),
             stop,
         }
     }
@@ -56,7 +56,7 @@
         self.node.address.parse().expect("an address")
     }
 
-    /// The server, which accepts nothing more.
+    /// Stops the server, so that it accepts no further set-ups. Returns the node and the server.
     fn stop_server(self) -> (RunningProgram, Server) {
         self.stop.store(true, Ordering::Relaxed);
         let server = self.server.join().expect("the server's thread ends");
@@ -64,8 +64,9 @@
     }
 }
 
-fn accept_set_ups(server: Server, until: &AtomicBool) -> Server {
-    while !until.load(Ordering::Relaxed) {
+/// Accepts every set-up until it is stopped; returns the server.
+fn accept_set_ups(server: Server, stop: &AtomicBool) -> Server {
+    while !stop.load(Ordering::Relaxed) {
         let events = server.take_events();
         if events.is_empty() {
             std::thread::sleep(Duration::from_millis(1));
@@ -87,35 +88,47 @@
     platform::wait(what, &mut holds);
 }
 
-/// Guards against set-ups that are read, or accepted by the machine, and never answered because the process ends by itself while
-/// its clients still send.
+/// Guards against unanswered set-ups at a graceful shutdown: a set-up that the node has read, or that is still in the kernel's
+/// buffer, is lost if the process ends while its clients still send.
 #[test]
-fn clients_that_send_until_the_process_has_ended_lose_no_set_up() {
+fn a_graceful_shutdown_loses_no_set_up_of_clients_that_keep_sending() {
     let mut platform = Platform::start("drain-senders.json");
     let clients = SendingClients::start(40, Duration::from_millis(10), platform.address());
     wait_until("the clients send", || clients.sent() > 1_000);
     platform.node.signal(Signal::TERM);
     let outcomes = clients.outcomes(Duration::from_secs(10));
-    assert_eq!(outcomes.lost, [], "{} were answered", outcomes.answered);
+    assert_eq!(
+        outcomes.lost,
+        [],
+        "{} set-ups were answered",
+        outcomes.answered
+    );
     assert_eq!(platform.node.wait_for_exit().code(), Some(0));
     platform.stop_server();
 }
 
-/// Guards against set-ups that SIGKILL finds unanswered because clients still send, while a session keeps the node from ending.
+/// Guards against set-ups that are still unanswered at SIGKILL. An active session keeps the node from ending by itself, and
+/// clients send until the kill.
 #[test]
-fn clients_that_send_until_the_kill_lose_no_set_up_while_a_session_plays() {
+fn a_kill_after_the_grace_period_loses_no_set_up_while_a_session_is_active() {
     let mut platform = Platform::start("kill-senders.json");
     let mut viewer = Viewer::connect(platform.address());
     viewer.start(platform::tag(u64::MAX), "preview", 15_000);
     assert_eq!(viewer.next_message()["verb"], "STARTED");
     let clients = SendingClients::start(20, Duration::from_millis(20), platform.address());
     wait_until("the clients send", || clients.sent() > 500);
-    let since = Instant::now();
+    let terminated_at = Instant::now();
     platform.node.signal(Signal::TERM);
-    std::thread::sleep(KILL_AFTER.saturating_sub(since.elapsed())); // The platform's rule is one of time.
+    // The platform kills after a fixed time, whatever the node does.
+    std::thread::sleep(KILL_AFTER.saturating_sub(terminated_at.elapsed()));
     platform.node.signal(Signal::KILL);
     let outcomes = clients.outcomes(Duration::from_secs(10));
-    assert_eq!(outcomes.lost, [], "{} were answered", outcomes.answered);
+    assert_eq!(
+        outcomes.lost,
+        [],
+        "{} set-ups were answered",
+        outcomes.answered
+    );
     platform.node.wait_for_exit();
     platform.stop_server();
 }
--- a/crates/cli/tests/power.rs
+++ b/crates/cli/tests/power.rs
@@ -1,5 +1,6 @@
-//! Power lost at each step between a paid set-up's intent and its answer, and what the next incarnation makes of it. A front is a
-//! process that is killed; its disk, its boot and its servers are changed while it is down. Judged from the servers' own inventory.
+//! Power loss at each step between the intent of a paid set-up and its answer, and the recovery of the next incarnation.
+//! A front is a process that is killed. Its disk, its boot id and its servers are changed while it is down. What was
+//! sent and billed is judged at the servers.
 mod power_harness;
 mod support;
 
@@ -8,7 +9,7 @@
 use crankpaddle_testbed::record::Seen;
 use crankpaddle_testbed::script::{front_block, FLEET};
 use power_harness::player::{
-    assert_established_or_failed, established, failure_reason, Established, Player,
+    assert_established_or_failed, established, failure_reason, ApiPlayer, Established,
 };
 use power_harness::{wait_until, KeyCounts, PowerLossHarness, FREE, ONCE, PAID, SERVERS};
 use std::fs;
@@ -17,72 +18,76 @@
 
 /// The step of a paid set-up at which power is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Step {
+enum SetUpStep {
     /// Nothing was sent to a server.
     NotSent,
     /// A server received it and has not answered.
     InProgress,
-    /// A server ran it, and the answer did not arrive.
+    /// A server ran it, and its answer did not arrive.
     RanUnanswered,
-    /// Its viewer was sent the session.
+    /// The session was sent to its viewer.
     Established,
-    /// Its viewer closed the session, and it ended at its server.
+    /// Its viewer closed the session, which ended at its server.
     Closed,
 }
 
-const STEPS: [Step; 5] = [
-    Step::NotSent,
-    Step::InProgress,
-    Step::RanUnanswered,
-    Step::Established,
-    Step::Closed,
+const SET_UP_STEPS: [SetUpStep; 5] = [
+    SetUpStep::NotSent,
+    SetUpStep::InProgress,
+    SetUpStep::RanUnanswered,
+    SetUpStep::Established,
+    SetUpStep::Closed,
 ];
 
-/// Brings a key's set-up to a step; returns the media address that its viewer was sent and still has.
+/// Advances a key's set-up to a step. Returns the media address of the viewer's session if it is still active.
 fn advance_to(
-    step: Step,
+    step: SetUpStep,
     harness: &PowerLossHarness,
     front: &Process,
     key: &str,
 ) -> Option<String> {
-    let mut player = Player::connect(front);
+    let mut player = ApiPlayer::connect(front);
     match step {
-        Step::NotSent => None,
-        Step::InProgress => {
+        SetUpStep::NotSent => None,
+        SetUpStep::InProgress => {
             player.open(key, PAID);
-            wait_until("the set-up", || harness.counts_of(key).sent == 1);
+            wait_until("a server receives the set-up", || {
+                harness.counts_of(key).sent == 1
+            });
             None
         }
-        Step::RanUnanswered => {
+        SetUpStep::RanUnanswered => {
             harness.set_hanging(true);
             player.open(key, PAID);
-            wait_until("the bill", || harness.counts_of(key).billed == 1);
+            wait_until("a server bills the set-up", || {
+                harness.counts_of(key).billed == 1
+            });
             None
         }
-        Step::Established => {
+        SetUpStep::Established => {
             let event = player.open_until_admitted(key, PAID);
             Some(established(&event).media.to_owned())
         }
-        Step::Closed => {
+        SetUpStep::Closed => {
             open_and_close(harness, &mut player, key);
             None
         }
     }
 }
 
-fn open_and_close(harness: &PowerLossHarness, player: &mut Player, key: &str) {
+fn open_and_close(harness: &PowerLossHarness, player: &mut ApiPlayer, key: &str) {
     let event = player.open_until_admitted(key, PAID);
     let Established { session, media } = established(&event);
     player.close(session);
     let at_server = media.split('/').nth(4).unwrap();
-    wait_until("its end", || {
+    wait_until("the session ends at its server", || {
         harness.recorded(|seen| matches!(seen, Seen::Ended { name, .. } if name == at_server)) == 1
     });
 }
 
-/// Checks what the next incarnation answers to a key whose set-up was interrupted at this step, with its disk intact.
+/// Checks the answer of the next incarnation to a key whose set-up was interrupted at this step. The disk is intact.
 fn check_answer(
-    step: Step,
+    step: SetUpStep,
     harness: &PowerLossHarness,
     key: &str,
     event: &ClientEvent,
@@ -91,25 +96,25 @@
     let counts = harness.counts_of(key);
     let mut expected = ONCE;
     match step {
-        Step::NotSent => {
+        SetUpStep::NotSent => {
             established(event);
         }
-        // The server drops the set-up with its front's connection, so that it is sent again; or it ran to its end first.
-        Step::InProgress => match event {
+        // The server drops the set-up when the front's connection ends, and it is sent again; or it had already run to its end.
+        SetUpStep::InProgress => match event {
             ClientEvent::Plays { .. } => expected = KeyCounts { sent: 2, billed: 1 },
             other => {
                 failure_reason(other);
             }
         },
-        // The server ends the session when its front is lost, or has not noticed the loss yet.
-        Step::RanUnanswered => assert_established_or_failed(event),
-        Step::Established => assert_eq!(
+        // The server has ended the session because its front was lost, or has not detected the loss yet.
+        SetUpStep::RanUnanswered => assert_established_or_failed(event),
+        SetUpStep::Established => assert_eq!(
             Some(established(event).media),
             media,
-            "the session that its server kept"
+            "the viewer gets the session that its server kept"
         ),
-        // The record of the end may be lost; the record that it ran is not.
-        Step::Closed => assert!(
+        // The record of the session's end may be lost, but the record that the set-up ran is not.
+        SetUpStep::Closed => assert!(
             ["key_spent", "no_answer"].contains(&failure_reason(event)),
             "{event:?}"
         ),
@@ -117,12 +122,12 @@
     assert_eq!(counts, expected, "{step:?}");
 }
 
-/// Power lost twice more during recovery: it can't complete while servers are unreachable.
+/// Loses power twice more during recovery, which can't complete while servers are unreachable.
 fn lose_power_during_recovery(harness: &PowerLossHarness, key: &str) {
     harness.set_vanished(true);
     for _ in 0..2 {
         let recovering = harness.start_front();
-        let mut player = Player::connect(&recovering);
+        let mut player = ApiPlayer::connect(&recovering);
         player.open(key, PAID);
         player.open("while-it-recovers", FREE);
         recovering.kill().unwrap();
@@ -134,9 +139,9 @@
 fn power_lost_at_each_step_and_during_recovery_bills_nothing_twice() {
     let mut harness = PowerLossHarness::new();
     let front = harness.start_front();
-    drop(Player::connect(&front));
+    drop(ApiPlayer::connect(&front));
     front.kill().unwrap();
-    for (index, step) in STEPS.into_iter().enumerate() {
+    for (index, step) in SET_UP_STEPS.into_iter().enumerate() {
         let key = format!("step-{index:04}");
         let front = harness.start_front();
         harness.wait_until_serving(&front, &format!("free-{index:04}"));
@@ -146,22 +151,22 @@
         harness.next_boot();
         lose_power_during_recovery(&harness, &key);
         let front = harness.start_front();
-        let event = Player::connect(&front).open_until_admitted(&key, PAID);
+        let event = ApiPlayer::connect(&front).open_until_admitted(&key, PAID);
         check_answer(step, &harness, &key, &event, media.as_deref());
         front.kill().unwrap();
     }
 }
 
-/// What happens to a disk while the power is off.
+/// A fault of the disk while the power is off.
 #[derive(Clone, Copy, Debug)]
 enum DiskFault {
-    /// It is replaced by an empty one.
+    /// The disk is replaced by an empty one.
     Empty,
-    /// It is restored from an earlier copy.
+    /// The disk is restored from an earlier copy.
     Outdated,
-    /// The end of its file is missing.
+    /// The end of the store's file is missing.
     Truncated,
-    /// A part of its file is overwritten.
+    /// A part of the store's file is overwritten.
     Corrupted,
 }
 
@@ -193,7 +198,7 @@
     }
 }
 
-/// Copies the store, for [`DiskFault::Outdated`].
+/// Copies the store, so that [`DiskFault::Outdated`] can restore it.
 fn copy_store(harness: &PowerLossHarness) {
     let old = harness.path("old");
     fs::create_dir_all(&old).unwrap();
@@ -215,15 +220,15 @@
         front.kill().unwrap();
         copy_store(&harness);
         let front = harness.start_front();
-        let media = advance_to(Step::Established, &harness, &front, &established_key);
-        advance_to(Step::RanUnanswered, &harness, &front, &unanswered_key);
+        let media = advance_to(SetUpStep::Established, &harness, &front, &established_key);
+        advance_to(SetUpStep::RanUnanswered, &harness, &front, &unanswered_key);
         front.kill().unwrap();
         harness.set_hanging(false);
         harness.next_boot();
         apply_disk_fault(&harness, fault);
 
         let front = harness.start_front();
-        let mut player = Player::connect(&front);
+        let mut player = ApiPlayer::connect(&front);
         let event = player.open_until_admitted(&established_key, PAID);
         assert_eq!(
             Some(established(&event).media),
@@ -238,19 +243,18 @@
         established(&player.open_until_admitted(&new_key, PAID));
         assert_eq!(harness.counts_of(&new_key), ONCE);
         front.kill().unwrap();
-        let _ = fs::remove_dir_all(harness.path("old")); // It may have become the store.
+        let _ = fs::remove_dir_all(harness.path("old")); // It is absent if it was moved to the store.
     }
 }
 
 #[test]
-fn a_server_that_lost_its_inventory_or_sessions_proves_nothing_and_a_shutdown_leaves_nothing_pending(
-) {
+fn servers_without_inventory_prove_nothing_and_a_graceful_shutdown_leaves_nothing_pending() {
     let mut harness = PowerLossHarness::new();
     let front = harness.start_front();
-    let mut free_viewer = Player::connect(&front);
+    let mut free_viewer = ApiPlayer::connect(&front);
     established(&free_viewer.open_until_admitted("free-0001", FREE));
-    advance_to(Step::Established, &harness, &front, "gone-0001");
-    advance_to(Step::RanUnanswered, &harness, &front, "lost-0001");
+    advance_to(SetUpStep::Established, &harness, &front, "gone-0001");
+    advance_to(SetUpStep::RanUnanswered, &harness, &front, "lost-0001");
     front.kill().unwrap();
     harness.set_hanging(false);
     harness.next_boot();
@@ -261,8 +265,8 @@
     }
 
     let mut front = harness.start_front();
-    let mut player = Player::connect(&front);
-    // The server's inventory begins after the set-up, so it does not prove that the set-up did not run.
+    let mut player = ApiPlayer::connect(&front);
+    // The server's inventory starts after the set-up, so it does not prove that the set-up did not run.
     failure_reason(&player.open_until_admitted("lost-0001", PAID));
     let event = player.open_until_admitted("gone-0001", PAID);
     assert_eq!(failure_reason(&event), "key_spent");
@@ -276,18 +280,19 @@
 
     // After a graceful shutdown the next incarnation serves at once, and still has the key.
     let front = harness.start_front();
-    let mut player = Player::connect(&front);
+    let mut player = ApiPlayer::connect(&front);
     let event = player.open_until_admitted("new-0001", PAID);
     assert_eq!(failure_reason(&event), "key_spent");
     assert_eq!(harness.counts_of("new-0001"), ONCE);
     assert_eq!(harness.config.classes, [PAID, FREE]);
 }
 
-/// Starts a second front on a folder; returns the error that it exits with.
-fn start_error(harness: &PowerLossHarness, folder: &Path) -> String {
+/// Starts a second front with this store directory, and returns the error with which it exits.
+fn start_error(harness: &PowerLossHarness, store_dir: &Path) -> String {
     let key = harness.path("key");
-    let store =
-        format!("store {{ name: \"north-1\" dir: {folder:?} key_file: {key:?} settle: \"2s\" }}\n");
+    let store = format!(
+        "store {{ name: \"north-1\" dir: {store_dir:?} key_file: {key:?} settle: \"2s\" }}\n"
+    );
     let block = front_block(0, 1, "north", "127.0.0.1:9", "");
     let exe = Path::new(env!("CARGO_BIN_EXE_crankpaddle"));
     let config = block + &store + FLEET;
@@ -297,7 +302,7 @@
 }
 
 #[test]
-fn a_folder_in_use_by_another_front_or_of_a_later_release_is_an_error_with_advice() {
+fn a_store_in_use_or_of_a_later_release_is_an_error_with_advice() {
     let harness = PowerLossHarness::new();
     let front = harness.start_front();
     let store = harness.path("store");
--- a/crates/cli/tests/power_harness/mod.rs
+++ b/crates/cli/tests/power_harness/mod.rs
@@ -1,4 +1,4 @@
-//! A front that loses power: its disk, its servers and its list service outlive its process.
+//! A front that loses power. Its disk, its servers and its list service outlive its process.
 pub(crate) mod player;
 
 use crate::support::{KEY, TIMEOUT};
@@ -9,7 +9,7 @@
 use crankpaddle_testbed::record::{Recorder, Seen};
 use crankpaddle_testbed::script::{fleet_config, front_block, FLEET};
 use crankpaddle_testbed::server::{Fleet, Layout};
-use player::{established, Player};
+use player::{established, ApiPlayer};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -20,18 +20,18 @@
 pub(crate) const FREE: &str = "preview";
 pub(crate) const SERVERS: u32 = 12;
 
-/// Interval at which a condition is polled; the recorder notifies nobody.
+/// Interval at which a condition is polled, because the recorder has no notifications.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < deadline, "waited in vain for {what}");
+        assert!(Instant::now() < deadline, "timed out: {what}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// How often servers were sent a key's set-up, and how often they billed it.
+/// How often a key's set-up was sent to servers, and how often they billed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct KeyCounts {
     pub(crate) sent: usize,
@@ -40,7 +40,7 @@
 
 pub(crate) const ONCE: KeyCounts = KeyCounts { sent: 1, billed: 1 };
 
-/// Servers, a list service, and a front whose disk alone outlives its incarnations.
+/// Servers, a list service, and a front of which only the disk outlives its incarnations.
 pub(crate) struct PowerLossHarness {
     pub(crate) dir: TempDir,
     pub(crate) fleet: Arc<Fleet>,
@@ -57,7 +57,7 @@
         fs::write(dir.path().join("key"), KEY).unwrap();
         let config = Arc::new(fleet_config(FLEET).unwrap());
         let recorder = Recorder::default();
-        // A set-up takes long enough for power to be lost while it is in progress.
+        // A set-up takes 300 ms of work, long enough for power to be lost while it is in progress.
         let layout = Layout {
             count: SERVERS as usize,
             cores: 3,
@@ -96,7 +96,7 @@
         self.dir.path().join(name)
     }
 
-    /// Starts the front on its disk.
+    /// Starts an incarnation of the front with the harness's disk.
     pub(crate) fn start_front(&self) -> Process {
         let dir = self.path("store");
         let key = self.path("key");
@@ -125,30 +125,31 @@
     }
 
     pub(crate) fn counts_of(&self, key: &str) -> KeyCounts {
-        let label = billing_key(key);
+        let billed_key = billing_key(key);
         KeyCounts {
-            sent: self.recorded(|seen| matches!(seen, Seen::SetUp { bill, .. } if *bill == label)),
+            sent: self
+                .recorded(|seen| matches!(seen, Seen::SetUp { bill, .. } if *bill == billed_key)),
             billed: self
-                .recorded(|seen| matches!(seen, Seen::Billed { bill, .. } if *bill == label)),
+                .recorded(|seen| matches!(seen, Seen::Billed { bill, .. } if *bill == billed_key)),
         }
     }
 
-    /// Whether servers run set-ups without answering.
+    /// Sets whether servers run set-ups without answering.
     pub(crate) fn set_hanging(&self, hangs: bool) {
         for id in 0..SERVERS {
             self.fleet.set_mode(id, |mode| mode.hangs = hangs);
         }
     }
 
-    /// Whether servers are unreachable.
+    /// Sets whether servers are unreachable.
     pub(crate) fn set_vanished(&self, vanished: bool) {
         for id in 0..SERVERS {
             self.fleet.set_mode(id, |mode| mode.vanished = vanished);
         }
     }
 
-    /// A free session is established only once every server has reported its inventory.
+    /// Waits until a free session is established, which requires that every server has reported its inventory.
     pub(crate) fn wait_until_serving(&self, front: &Process, key: &str) {
-        established(&Player::connect(front).open_until_admitted(key, FREE));
+        established(&ApiPlayer::connect(front).open_until_admitted(key, FREE));
     }
 }
--- a/crates/cli/tests/power_harness/player.rs
+++ b/crates/cli/tests/power_harness/player.rs
@@ -1,4 +1,4 @@
-//! A player of the session API, and what it expects of the front's answers.
+//! A player that uses the session API, and checks of the events that a front sends it.
 use crate::support::TIMEOUT;
 use crankpaddle_session_api::client::{self, ClientEvent};
 use crankpaddle_session_api::methods::Open;
@@ -8,23 +8,23 @@
 use tungstenite::client::IntoClientRequest;
 use tungstenite::{Message, WebSocket};
 
-/// Time after which a player retries a rejected request.
+/// Interval at which a player retries a rejected request.
 pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-pub(crate) struct Player {
+pub(crate) struct ApiPlayer {
     socket: WebSocket<TcpStream>,
     calls: u64,
 }
 
-impl Player {
-    pub(crate) fn connect(front: &Process) -> Player {
+impl ApiPlayer {
+    pub(crate) fn connect(front: &Process) -> ApiPlayer {
         let stream = TcpStream::connect(front.address).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let request = format!("ws://{}/session", front.address)
             .into_client_request()
             .unwrap();
         let (socket, _) = tungstenite::client::client(request, stream).unwrap();
-        Player { socket, calls: 0 }
+        ApiPlayer { socket, calls: 0 }
     }
 
     pub(crate) fn open(&mut self, key: &str, class: &str) {
@@ -47,7 +47,7 @@
         assert!(matches!(self.receive(), ClientEvent::Closed { .. }));
     }
 
-    /// The next event but a change of rung.
+    /// Returns the next event that is not a change of rung.
     pub(crate) fn receive(&mut self) -> ClientEvent {
         loop {
             let Message::Text(text) = self.socket.read().unwrap() else {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Retries while the front sheds load; returns the first other answer.
+    /// Requests a session, and retries while the front rejects it for overload or lack of capacity. Returns the first other
+    /// event.
     pub(crate) fn open_until_admitted(&mut self, key: &str, class: &str) -> ClientEvent {
         let deadline = Instant::now() + TIMEOUT;
         loop {
@@ -69,7 +70,10 @@
                 ClientEvent::Refused { reason, .. }
                     if reason == "overload" || reason == "no_room" =>
                 {
-                    assert!(Instant::now() < deadline, "{key}: {reason}");
+                    assert!(
+                        Instant::now() < deadline,
+                        "{key} is still rejected: {reason}"
+                    );
                     std::thread::sleep(RETRY_INTERVAL);
                 }
                 event => return event,
@@ -78,7 +82,7 @@
     }
 }
 
-/// What the viewer of an established session was sent.
+/// The session and the media address that the viewer of an established session was sent.
 pub(crate) struct Established<'a> {
     pub(crate) session: &'a str,
     pub(crate) media: &'a str,
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as its users start it: configuration checks, signals, and a scripted scenario with front processes.
+//! The program as its users run it: configuration checks, signals, and a scripted scenario with front processes.
 mod support;
 
 use rustix::process::Signal;
@@ -9,7 +9,7 @@
     RunningProgram, EXAMPLE_CONFIG,
 };
 
-/// Bound of the wait for new budgets to be in force.
+/// Timeout of the wait until new budgets are in force.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn write_file(name: &str, content: &str) -> PathBuf {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_invalid_file_is_rejected_with_each_place_and_status_2() {
+fn an_invalid_file_is_rejected_with_all_its_problems_and_status_2() {
     let invalid = write_file(
         "bad.textproto",
         &EXAMPLE_CONFIG
@@ -70,14 +70,14 @@
         ] {
             assert!(stderr.contains(problem), "{problem}: {stderr}");
         }
-        assert!(output.stdout.is_empty(), "nothing was started");
+        assert!(output.stdout.is_empty(), "a front was started");
     }
     let absent = run(&["check", "no-such-file"]);
     assert_eq!(absent.status.code(), Some(2));
 }
 
 #[test]
-fn an_address_in_use_is_an_error_and_not_shared() {
+fn a_second_front_on_an_address_in_use_fails() {
     let front = start_front("in-use.textproto");
     let config = EXAMPLE_CONFIG.replace("127.0.0.1:7400", &front.address);
     let second = write_file("second.textproto", &config);
@@ -118,7 +118,7 @@
 
 const BUDGET: &str = "budget { from: \"south\" to: \"north\" rate: \"5MB/s\" burst: \"1GiB\" }\n";
 
-/// The budget again, for one class.
+/// The same budget for one class.
 fn class_budget() -> String {
     BUDGET
         .replace("} }", "}")
@@ -131,7 +131,7 @@
     text(&output.stdout)
 }
 
-/// How many budgets of the test's rate are in force.
+/// Returns the number of budgets in force with the rate of [`BUDGET`].
 fn budget_count(front: &RunningProgram) -> usize {
     traffic_report(front, "json")
         .matches("\"rate_kb\": 5000.0")
@@ -144,11 +144,14 @@
     front.signal(Signal::HUP);
     let deadline = Instant::now() + RELOAD_TIMEOUT;
     while budget_count(front) != budgets {
-        assert!(Instant::now() < deadline, "waited in vain");
+        assert!(
+            Instant::now() < deadline,
+            "the budgets are not in force in time"
+        );
     }
 }
 
-/// Has the front read a configuration that it must reject.
+/// Reloads a configuration that the front must reject, and waits until it has.
 fn reload_rejected(front: &RunningProgram, config: &str) {
     write_file("reloaded.textproto", config);
     front.signal(Signal::HUP);
@@ -156,7 +159,7 @@
 }
 
 #[test]
-fn hup_applies_new_budgets_and_a_rejected_file_changes_nothing() {
+fn sighup_applies_new_budgets_and_a_rejected_file_changes_nothing() {
     let mut front = start_front("reloaded.textproto");
     let config = isolated_config();
     assert_eq!(budget_count(&front), 0);
@@ -165,7 +168,7 @@
     assert!(traffic_report(&front, "table").contains("BUDGET kB/s"));
     assert!(traffic_report(&front, "csv").starts_with("from,to,class"));
 
-    // A file that is invalid, or needs a restart, leaves the budgets as they are; a valid one after it is applied.
+    // A file that is invalid or needs a restart doesn't change the budgets, and a later valid file is applied.
     reload_rejected(&front, "nonsense {");
     reload_rejected(&front, &config.replace("siblings: 2", "siblings: 3"));
     assert_eq!(budget_count(&front), 1);
@@ -188,7 +191,7 @@
 }
 
 #[test]
-fn a_front_that_is_unreachable_is_named_and_fails_the_report() {
+fn an_unreachable_front_is_reported_as_missing_and_fails_the_report() {
     let front = start_front("partial.textproto");
 
     let partial = run(&["traffic", "report", &front.address, "127.0.0.1:1"]);
@@ -197,9 +200,9 @@
     assert!(text(&partial.stderr).contains("missing: 127.0.0.1:1"));
 }
 
-/// Three front processes, twelve simulated servers, and in eight seconds a hang, failures, a stopped front (SIGSTOP), the loss
-/// of a zone, a drain and the loss of the list service. The checker has the same verdict from the report alone, and another
-/// where the report is forged.
+/// Plays eight seconds with three front processes, twelve simulated servers, hanging and failing servers, a stopped front
+/// (SIGSTOP), the loss of a zone, a drain and the loss of the list service. The checker must come to the same verdict from the
+/// report alone, and must detect a duplicate billing that is added to the report.
 #[test]
 fn a_scenario_with_faults_passes_all_rules_and_a_forged_report_fails() {
     let seed = "5";
--- a/crates/cli/tests/sending_clients/mod.rs
+++ b/crates/cli/tests/sending_clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients that send set-ups to a front node at a steady pace until their connections end, and what became of each.
+//! Clients that send set-ups to a front node at a fixed interval until their connections end, and the outcome of each set-up.
 use crate::platform::set_up;
 use crankpaddle_node_protocol::Tag;
 use serde_json::{json, Value};
@@ -10,23 +10,23 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A set-up that crosses the close of its connection within this time is sent once more (the platform's rule).
+/// A client repeats a set-up if its connection is closed within this time after it was sent, as the platform's rules require.
 const CROSSING_PERIOD: Duration = Duration::from_millis(50);
 
-/// How the node ended a connection.
+/// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEnd {
-    /// In order: everything that the node sent was received before.
+    /// It was closed after everything that the node had sent was received.
     Closed,
-    /// By a reset, which discards what is on its way.
+    /// It was reset, which discards data in transit.
     Reset,
 }
 
-/// A set-up without an answer.
-struct Pending {
+/// A set-up that has no answer yet.
+struct PendingSetUp {
     sent_at: Instant,
-    /// Whether its connection was seen open, without an answer, for longer than [`CROSSING_PERIOD`] after it was sent.
-    is_open: bool,
+    /// Whether its connection was still open, without an answer, later than [`CROSSING_PERIOD`] after it was sent.
+    outlived_crossing_period: bool,
 }
 
 /// Why a set-up is lost.
@@ -34,17 +34,18 @@
 pub(crate) enum Loss {
     /// Its connection was reset.
     Reset,
-    /// Its connection was closed although it was open on it.
-    ClosedWhileOpen,
-    /// It crossed the close of its connection, was sent once more on a new one, and got no answer there either.
+    /// Its connection was closed later than [`CROSSING_PERIOD`] after it was sent, without an answer.
+    ClosedWhilePending,
+    /// Its connection was closed within [`CROSSING_PERIOD`], and the repeated set-up on a new connection got no answer either.
     RetryUnanswered,
 }
 
-/// What one client, or several together, have seen.
+/// The outcomes of the set-ups of one or more clients.
 #[derive(Debug, Default)]
 pub(crate) struct Outcomes {
     pub(crate) answered: usize,
-    /// Set-ups that crossed the close of their connection, and were then answered or could not connect any more.
+    /// Set-ups whose connection was closed within [`CROSSING_PERIOD`], and that were answered on a new connection or could not
+    /// connect again.
     pub(crate) crossed: usize,
     pub(crate) lost: Vec<Loss>,
 }
@@ -60,20 +61,20 @@
 /// Clients that run until the node has ended all their connections.
 pub(crate) struct SendingClients {
     threads: Vec<JoinHandle<Outcomes>>,
-    /// Set-ups sent until now.
+    /// Number of set-ups that all clients have sent.
     sent: Arc<AtomicU64>,
     stop: Arc<AtomicBool>,
 }
 
 impl SendingClients {
-    /// Starts `count` clients with a connection each, on which they send a set-up every `pace`.
-    pub(crate) fn start(count: usize, pace: Duration, address: SocketAddr) -> SendingClients {
+    /// Starts `count` clients. Each has a connection, on which it sends a set-up at every `interval`.
+    pub(crate) fn start(count: usize, interval: Duration, address: SocketAddr) -> SendingClients {
         let sent = Arc::new(AtomicU64::new(0));
         let stop = Arc::new(AtomicBool::new(false));
         let threads = (0..count)
             .map(|_| {
                 let (sent, stop) = (sent.clone(), stop.clone());
-                std::thread::spawn(move || send_until_closed(address, pace, &sent, &stop))
+                std::thread::spawn(move || send_until_closed(address, interval, &sent, &stop))
             })
             .collect();
         SendingClients {
@@ -87,9 +88,9 @@
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Waits until all connections have ended. Clients whose connections outlive `patience` stop by themselves.
-    pub(crate) fn outcomes(self, patience: Duration) -> Outcomes {
-        let deadline = Instant::now() + patience;
+    /// Waits until all connections have ended, and returns the outcomes. After `timeout` the remaining clients stop.
+    pub(crate) fn outcomes(self, timeout: Duration) -> Outcomes {
+        let deadline = Instant::now() + timeout;
         while Instant::now() < deadline && self.threads.iter().any(|thread| !thread.is_finished()) {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -104,7 +105,7 @@
 
 fn send_until_closed(
     address: SocketAddr,
-    pace: Duration,
+    interval: Duration,
     sent: &AtomicU64,
     stop: &AtomicBool,
 ) -> Outcomes {
@@ -117,19 +118,19 @@
         if let Err(end) = connection.send_set_up(sent) {
             break end;
         }
-        if let Err(end) = connection.receive_for(pace, &mut outcomes) {
+        if let Err(end) = connection.receive_for(interval, &mut outcomes) {
             break end;
         }
     };
     for pending in connection.pending.values() {
-        settle(pending, end, address, sent, &mut outcomes);
+        record_unanswered(pending, end, address, sent, &mut outcomes);
     }
     outcomes
 }
 
-/// Judges a set-up whose connection has ended without an answer to it.
-fn settle(
-    pending: &Pending,
+/// Records the outcome of a set-up whose connection ended without an answer to it.
+fn record_unanswered(
+    pending: &PendingSetUp,
     end: ConnectionEnd,
     address: SocketAddr,
     sent: &AtomicU64,
@@ -138,8 +139,8 @@
     if end == ConnectionEnd::Reset {
         return outcomes.lost.push(Loss::Reset);
     }
-    if pending.is_open {
-        return outcomes.lost.push(Loss::ClosedWhileOpen);
+    if pending.outlived_crossing_period {
+        return outcomes.lost.push(Loss::ClosedWhilePending);
     }
     if is_retry_lost(address, sent) {
         outcomes.lost.push(Loss::RetryUnanswered);
@@ -148,7 +149,8 @@
     }
 }
 
-/// Sends a set-up once more, on a new connection; a refused connection proves that it was not taken.
+/// Repeats a set-up on a new connection; returns whether it got no answer. A refused connection is no loss, because it proves
+/// that the set-up was not accepted.
 fn is_retry_lost(address: SocketAddr, sent: &AtomicU64) -> bool {
     let Ok(mut connection) = Connection::open(address) else {
         return false;
@@ -166,11 +168,11 @@
     outcomes.answered == 0
 }
 
-/// A client's connection.
+/// A client's connection, with the set-ups that are pending on it.
 struct Connection {
     stream: TcpStream,
     received: Vec<u8>,
-    pending: BTreeMap<String, Pending>,
+    pending: BTreeMap<String, PendingSetUp>,
 }
 
 impl Connection {
@@ -188,9 +190,9 @@
         let number = sent.fetch_add(1, Ordering::Relaxed) + 1;
         let tag = Tag::parse(&format!("{number:016x}")).expect("16 hex digits");
         self.send(&set_up(tag, "preview", "1500", ""))?;
-        let pending = Pending {
+        let pending = PendingSetUp {
             sent_at: Instant::now(),
-            is_open: false,
+            outlived_crossing_period: false,
         };
         self.pending.insert(tag.as_str().to_owned(), pending);
         Ok(())
@@ -203,51 +205,59 @@
             .map_err(|_| ConnectionEnd::Reset)
     }
 
-    /// Receives for this time.
-    fn receive_for(&mut self, time: Duration, seen: &mut Outcomes) -> Result<(), ConnectionEnd> {
+    /// Receives messages for this time.
+    fn receive_for(
+        &mut self,
+        time: Duration,
+        outcomes: &mut Outcomes,
+    ) -> Result<(), ConnectionEnd> {
         let until = Instant::now() + time;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let timeout = left.max(Duration::from_millis(1));
+            let remaining = until.saturating_duration_since(Instant::now());
+            let timeout = remaining.max(Duration::from_millis(1));
             self.stream.set_read_timeout(Some(timeout)).expect("a time");
-            let mut piece = [0u8; 4096];
-            match self.stream.read(&mut piece) {
+            let mut buffer = [0u8; 4096];
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return Err(ConnectionEnd::Closed),
-                Ok(length) => self.received.extend_from_slice(&piece[..length]),
-                Err(error) if is_timeout(&error) => self.note_open(),
+                Ok(length) => self.received.extend_from_slice(&buffer[..length]),
+                Err(error) if is_timeout(&error) => self.mark_crossing_period_over(),
                 Err(_) => return Err(ConnectionEnd::Reset),
             }
-            self.take_messages(seen)?;
-            if left.is_zero() {
+            self.take_messages(outcomes)?;
+            if remaining.is_zero() {
                 return Ok(());
             }
         }
     }
 
-    /// Nothing can be read now, so the connection is open.
-    fn note_open(&mut self) {
+    /// Marks the set-ups that were sent earlier than [`CROSSING_PERIOD`] ago. The connection is open, because a read timed out.
+    fn mark_crossing_period_over(&mut self) {
         for pending in self.pending.values_mut() {
-            pending.is_open |= pending.sent_at.elapsed() > CROSSING_PERIOD;
+            pending.outlived_crossing_period |= pending.sent_at.elapsed() > CROSSING_PERIOD;
         }
     }
 
-    fn take_messages(&mut self, seen: &mut Outcomes) -> Result<(), ConnectionEnd> {
+    fn take_messages(&mut self, outcomes: &mut Outcomes) -> Result<(), ConnectionEnd> {
         while let Some(end) = self.received.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = self.received.drain(..=end).collect();
             let message: Value = serde_json::from_slice(&line).expect("a message");
-            self.take_message(&message, seen)?;
+            self.take_message(&message, outcomes)?;
         }
         Ok(())
     }
 
-    /// Counts an answer; a session that is established is released at once.
-    fn take_message(&mut self, message: &Value, seen: &mut Outcomes) -> Result<(), ConnectionEnd> {
+    /// Counts an answer. An established session is released at once.
+    fn take_message(
+        &mut self,
+        message: &Value,
+        outcomes: &mut Outcomes,
+    ) -> Result<(), ConnectionEnd> {
         let tag = message["tag"].as_str().unwrap_or_default().to_owned();
         let is_answer = message["verb"] == "STARTED" || message["verb"] == "FINISH";
         if !is_answer || self.pending.remove(&tag).is_none() {
             return Ok(());
         }
-        seen.answered += 1;
+        outcomes.answered += 1;
         if message["verb"] == "STARTED" {
             let release = json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": 16});
             return self.send(&release);
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the program share: the program as a command, as a running process, and the folders of its files.
-#![allow(dead_code)] // Why: each test binary uses a part of it.
+//! Support shared by the tests of the program: its commands, its running processes and the directories of its files.
+#![allow(dead_code)] // Each test binary uses only a part of it.
 use procfs::process::Process;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::process::{kill_process, pidfd_open, Pid, PidfdFlags, Signal};
@@ -10,38 +10,38 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// Bound of each wait for a process; long enough for a busy machine.
+/// Timeout of each wait for a process, long enough for a busy machine.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The shared secret of a fleet's members.
+/// The key of a fleet's members, in hex digits.
 pub(crate) const KEY: &str = "00112233445566778899aabbccddeeff";
 
 /// The documented configuration of a front.
 pub(crate) const EXAMPLE_CONFIG: &str = include_str!("../../../../deploy/front.textproto");
 
-/// The program that was built.
+/// A command that runs the program under test.
 pub(crate) fn program() -> Command {
     Command::new(env!("CARGO_BIN_EXE_crankpaddle"))
 }
 
-/// Runs a command of the program to its end.
+/// Runs the program with these arguments to its end.
 pub(crate) fn run(args: &[&str]) -> Output {
     program().args(args).output().unwrap()
 }
 
-/// Printed bytes as text.
+/// Converts printed bytes to text.
 pub(crate) fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A folder for the files of this process's tests.
+/// Creates a directory for the files of this process's tests.
 pub(crate) fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("crankpaddle-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// The documented configuration with a free port, and a list service that can't be reached.
+/// The documented configuration with any free port, and with a list service that can't be reached.
 pub(crate) fn isolated_config() -> String {
     EXAMPLE_CONFIG
         .replace("127.0.0.1:7400", "127.0.0.1:0")
@@ -55,9 +55,9 @@
     command
 }
 
-/// A running front or front node; killed when dropped.
+/// A running front or front node, which is killed when dropped.
 pub(crate) struct RunningProgram {
-    /// Where it listens.
+    /// The address on which it listens.
     pub(crate) address: String,
     child: Child,
     log: Receiver<String>,
@@ -83,23 +83,23 @@
         };
         assert!(
             line.starts_with("listening "),
-            "it says where it listens: {line}{:?}",
+            "the first line is not the address: {line}{:?}",
             program.logged()
         );
         program
     }
 
-    /// The process's id.
+    /// The id of the process.
     pub(crate) fn pid(&self) -> i32 {
         self.child.id() as i32
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub(crate) fn signal(&self, signal: Signal) {
         kill_process(Pid::from_raw(self.pid()).unwrap(), signal).unwrap();
     }
 
-    /// The lines logged since the last call that read them.
+    /// Returns the log lines that were not read yet.
     pub(crate) fn logged(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
@@ -110,7 +110,7 @@
             let line = self
                 .log
                 .recv_timeout(TIMEOUT)
-                .unwrap_or_else(|_| panic!("never logged: {text}"));
+                .unwrap_or_else(|_| panic!("not logged in time: {text}"));
             if line.contains(text) {
                 return line;
             }
@@ -124,25 +124,25 @@
         let timeout = Timespec::try_from(TIMEOUT).unwrap();
         let mut ended = [PollFd::new(&process, PollFlags::IN)];
         let ready = poll(&mut ended, Some(&timeout)).unwrap();
-        assert!(ready == 1, "it does not end");
+        assert!(ready == 1, "the process does not end in time");
         self.child.wait().unwrap()
     }
 
-    /// Connects to its address; reads give up after [`TIMEOUT`].
+    /// Connects to its address. Reads time out after [`TIMEOUT`].
     pub(crate) fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(&self.address).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream
     }
 
-    /// The answer to `GET /health`.
+    /// Returns the answer to `GET /health`.
     pub(crate) fn health(&self) -> String {
         let mut stream = self.connect();
         send_health_request(&mut stream);
         read_answer(&mut stream)
     }
 
-    /// What `/proc` has on the process.
+    /// The entry of the process in `/proc`.
     pub(crate) fn process(&self) -> Process {
         Process::new(self.pid()).unwrap()
     }
@@ -150,7 +150,7 @@
 
 impl Drop for RunningProgram {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // It may have ended.
+        let _ = self.child.kill(); // The process may have ended already.
         let _ = self.child.wait();
     }
 }
@@ -162,14 +162,14 @@
         .unwrap();
 }
 
-/// All that a connection answers until it is closed.
+/// Reads from a connection until it is closed.
 pub(crate) fn read_answer(stream: &mut TcpStream) -> String {
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     answer
 }
 
-/// Lines of a pipe, read by a thread of their own until the pipe is closed.
+/// Starts a thread that reads the lines of a pipe until it is closed.
 fn read_lines(pipe: impl Read + Send + 'static) -> Receiver<String> {
     let (sender, lines) = channel();
     std::thread::spawn(move || {
