--- a/clients/python/session_api.py
+++ b/clients/python/session_api.py
@@ -1,6 +1,6 @@
-"""A typed client of the session API (session.v2.jsonrpc), as its AsyncAPI description has it.
+"""A typed client of the session API (session.v2.jsonrpc), written from its AsyncAPI description.
 
-Needs the package websocket-client. `python session_api.py ADDRESS TITLE CLASS` opens a session, prints it and closes it.
+Requires the package websocket-client. `python session_api.py ADDRESS TITLE CLASS` opens a session, prints it and closes it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Open:
-    """Parameters of session.open."""
+    """Parameters of session.open. Optional ones that are None are not sent; `klass` is sent as `class`."""
 
     key: str
     title: str
@@ -30,6 +30,7 @@
     again: bool = False
 
     def params(self) -> dict[str, Any]:
+        """The parameters under their names in the API."""
         fields = {name: value for name, value in asdict(self).items() if value is not None}
         fields["class"] = fields.pop("klass")
         return fields
@@ -46,7 +47,7 @@
 
 
 class ApiError(Exception):
-    """An error object: refused (-32001), failed (-32002) and the others."""
+    """A JSON-RPC error that a call was answered with, such as refused (-32001) or failed (-32002)."""
 
     def __init__(self, code: int, message: str, data: Optional[dict[str, Any]] = None) -> None:
         super().__init__(f"{code} {message} {data or ''}".strip())
@@ -54,43 +55,49 @@
 
     @property
     def reason(self) -> Optional[str]:
+        """Why the call was refused or failed; None if the error does not say."""
         return self.data.get("reason")
 
     @property
     def retry_after_ms(self) -> Optional[int]:
+        """Milliseconds after which a retry is worthwhile; None if the error does not say."""
         return self.data.get("retry_after_ms")
 
 
 class Client:
-    """A connection to a front. Notifications that come between answers are kept in `notices`."""
+    """A connection to a front. Notifications that arrive while a call waits for its answer are kept in `notifications`."""
 
     def __init__(self, address: str, timeout: float = 10.0) -> None:
         self._socket = websocket.create_connection(
             f"ws://{address}/session", subprotocols=[SUBPROTOCOL], timeout=timeout
         )
         self._calls = 0
-        self.notices: list[dict[str, Any]] = []
+        self.notifications: list[dict[str, Any]] = []
 
     def call(self, method: str, params: dict[str, Any]) -> Any:
+        """Calls a method and waits for its answer. Raises ApiError if it is answered with an error."""
         self._calls += 1
         request = {"jsonrpc": "2.0", "id": self._calls, "method": method, "params": params}
         self._socket.send(json.dumps(request))
         while True:
             message = json.loads(self._socket.recv())
             if "method" in message:
-                self.notices.append(message)
+                self.notifications.append(message)
             elif message["id"] == self._calls:
                 if "error" in message:
                     raise ApiError(**message["error"])
                 return message["result"]
 
-    def open(self, wanted: Open) -> Opened:
-        return Opened(**self.call("session.open", wanted.params()))
+    def open(self, request: Open) -> Opened:
+        """Requests a session, once for each key."""
+        return Opened(**self.call("session.open", request.params()))
 
     def resume(self, key: str) -> Opened:
+        """Resumes the session with this key after its connection was lost."""
         return Opened(**self.call("session.resume", {"key": key}))
 
     def close(self, session: str) -> None:
+        """Ends a session of this connection."""
         self.call("session.close", {"session": session})
 
 
--- a/crates/api/src/conform.rs
+++ b/crates/api/src/conform.rs
@@ -1,8 +1,8 @@
 //! Checks whether recorded traffic and the published descriptions agree, in both directions.
 //!
-//! The check reads the documents, never the types from which they are generated. A message that no description allows is a fault. So
-//! is a described item that a complete run never exchanges: a message, a property, a value of an enum, a status. Items that no run
-//! can exchange are listed as exceptions with a reason.
+//! The check reads the documents, and not the types from which they are generated. It reports each message that no description
+//! allows, and each described item that the traffic does not contain: a message, a property, a value of an enum, a status.
+//! Items that no run can exchange are listed as exceptions with a reason.
 mod documents;
 
 use crate::errors::ApiError;
@@ -13,34 +13,34 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The path under which the documents describe responses that any path may give.
+/// Key of the responses that any path may give.
 const ANY_PATH: &str = "*";
-/// Items for JSON-RPC batches, which no document describes.
+/// Names of the items for JSON-RPC batches. The documents can't describe batches, but traffic must contain them.
 const BATCH_OF_CALLS: &str = "batch of calls";
 const BATCH_OF_ANSWERS: &str = "batch of answers";
 
-/// A message or a request and its response, as recorded at a socket.
+/// A WebSocket message, or an HTTP request with its response, as recorded at a socket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Exchange {
     /// A text frame of a WebSocket.
     Text {
-        /// Whether the player sent it.
+        /// Whether the player sent it, not the front.
         call: bool,
-        /// The content of the frame.
+        /// Content of the frame.
         text: String,
     },
     /// An HTTP request and its response.
     Http {
-        /// The request's method.
+        /// Method of the request.
         method: String,
-        /// The request's path.
+        /// Path of the request, with its query.
         path: String,
-        /// The response's status.
+        /// Status of the response.
         status: u16,
-        /// The response's media type; empty if it has none.
+        /// Media type of the response; empty if it has no body.
         media: String,
-        /// The response's body.
+        /// Body of the response.
         body: String,
     },
 }
@@ -50,12 +50,12 @@
 pub struct Exception {
     /// The item, as [`ConformanceReport::unseen`] names it.
     pub item: String,
-    /// Why no run exchanges it.
+    /// Why no run exchanges the item; must not be blank.
     pub reason: String,
 }
 
 impl Exception {
-    /// Whether the exception is for this item or for one that contains it.
+    /// Whether the exception names this item, or an item that contains it.
     fn covers(&self, item: &str) -> bool {
         item.strip_prefix(self.item.as_str())
             .is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', ' ', '[']))
@@ -70,19 +70,19 @@
     /// Described items that were never exchanged.
     pub unseen: BTreeSet<String>,
     /// Exceptions for items that were exchanged or are not described, and exceptions without a reason.
-    pub needless: Vec<String>,
-    /// The number of messages and responses that were checked.
-    pub looked_at: usize,
+    pub needless_exceptions: Vec<String>,
+    /// Number of messages and responses that were checked.
+    pub checked_count: usize,
 }
 
 impl ConformanceReport {
-    /// Whether traffic and descriptions agree in both directions. A run without traffic shows nothing, so it does not agree.
+    /// Whether traffic and descriptions agree in both directions. A run without traffic proves nothing and does not agree.
     #[must_use]
     pub fn agrees(&self) -> bool {
-        self.looked_at > 0
+        self.checked_count > 0
             && self.undescribed.is_empty()
             && self.unseen.is_empty()
-            && self.needless.is_empty()
+            && self.needless_exceptions.is_empty()
     }
 }
 
@@ -92,20 +92,20 @@
             writeln!(formatter, "not described: {exchange}")?;
         }
         for item in &self.unseen {
-            writeln!(formatter, "described and never exchanged: {item}")?;
+            writeln!(formatter, "described but never exchanged: {item}")?;
         }
-        for item in &self.needless {
+        for item in &self.needless_exceptions {
             writeln!(formatter, "needless exception: {item}")?;
         }
         write!(
             formatter,
-            "{} messages and answers looked at",
-            self.looked_at
+            "{} messages and responses checked",
+            self.checked_count
         )
     }
 }
 
-/// A described message or body.
+/// A described message or response body, with its compiled schema.
 struct Described {
     name: String,
     schema: Value,
@@ -113,7 +113,7 @@
 }
 
 impl Described {
-    /// The items of this description that the value exchanges; with `None` all of them.
+    /// The items of this description that the value contains, or all of them without a value.
     fn items(&self, document: &Value, value: Option<&Value>) -> Vec<String> {
         let mut items = vec![self.name.clone()];
         collect_items(document, &self.schema, value, &self.name, &mut items);
@@ -128,11 +128,11 @@
     /// Messages that players send.
     calls: Vec<Described>,
     /// Messages that fronts send.
-    notifications: Vec<Described>,
+    front_messages: Vec<Described>,
     responses: Responses,
     seen: BTreeSet<String>,
     undescribed: Vec<String>,
-    looked_at: usize,
+    checked_count: usize,
 }
 
 impl ConformanceChecker {
@@ -145,25 +145,25 @@
         let openapi: Value = serde_json::from_str(openapi)?;
         Ok(ConformanceChecker {
             calls: messages_of(&asyncapi, "call")?,
-            notifications: messages_of(&asyncapi, "tell")?,
+            front_messages: messages_of(&asyncapi, "tell")?,
             responses: Responses::read(&openapi)?,
             asyncapi,
             openapi,
             seen: BTreeSet::new(),
             undescribed: Vec::new(),
-            looked_at: 0,
+            checked_count: 0,
         })
     }
 
-    /// Whether exactly one described call allows this one.
+    /// Whether exactly one described call matches this one.
     #[must_use]
     pub fn allows_call(&self, call: &Value) -> bool {
-        let allowing = self.calls.iter();
-        let allowing = allowing.filter(|described| described.validator.is_valid(call));
-        allowing.count() == 1
+        let matching = self.calls.iter();
+        let matching = matching.filter(|described| described.validator.is_valid(call));
+        matching.count() == 1
     }
 
-    /// Checks a recorded exchange.
+    /// Checks one recorded exchange.
     pub fn record(&mut self, exchange: &Exchange) {
         match exchange {
             Exchange::Text { call, text } => self.record_text(*call, text),
@@ -195,43 +195,43 @@
             Err(_) if is_call => {}
             Err(error) => self
                 .undescribed
-                .push(format!("the front sent no JSON ({error}): {text}")),
+                .push(format!("the front sent invalid JSON ({error}): {text}")),
         }
     }
 
     fn record_message(&mut self, is_call: bool, message: &Value) {
-        self.looked_at += 1;
+        self.checked_count += 1;
         let candidates = if is_call {
             &self.calls
         } else {
-            &self.notifications
+            &self.front_messages
         };
-        let allowing: Vec<&Described> = candidates
+        let matching: Vec<&Described> = candidates
             .iter()
             .filter(|described| described.validator.is_valid(message))
             .collect();
-        if let [described] = allowing[..] {
+        if let [described] = matching[..] {
             self.seen
                 .extend(described.items(&self.asyncapi, Some(message)));
             return;
         }
         // A call may be invalid; the front's answer to it is checked.
-        if is_call && allowing.is_empty() {
+        if is_call && matching.is_empty() {
             return;
         }
-        let names: Vec<&str> = allowing
+        let names: Vec<&str> = matching
             .iter()
             .map(|described| described.name.as_str())
             .collect();
         self.undescribed.push(format!(
-            "{} messages fit ({}): {message}",
-            allowing.len(),
+            "{} described messages match ({}): {message}",
+            matching.len(),
             names.join(", ")
         ));
     }
 
     fn record_response(&mut self, method: &str, path: &str, status: u16, media: &str, body: &str) {
-        self.looked_at += 1;
+        self.checked_count += 1;
         let path_without_query = path.split('?').next().unwrap_or("");
         let own_path = (method == "GET").then_some(path_without_query);
         for described_path in own_path.into_iter().chain([ANY_PATH]) {
@@ -255,21 +255,21 @@
                     .seen
                     .extend(described.items(&self.openapi, Some(&value))),
                 None => self.undescribed.push(format!(
-                    "{method} {path} {status}: the body is another: {body}"
+                    "{method} {path} {status}: the body does not match its schema: {body}"
                 )),
             }
             return;
         }
         self.undescribed.push(format!(
-            "{method} {path}: status {status} with {media:?} is not described"
+            "{method} {path}: status {status} with media type {media:?} is not described"
         ));
     }
 
-    /// All described items, as [`ConformanceReport::unseen`] names them.
+    /// The names of all described items, as [`ConformanceReport::unseen`] has them.
     fn items(&self) -> BTreeSet<String> {
         let mut items: BTreeSet<String> =
             [BATCH_OF_CALLS, BATCH_OF_ANSWERS].map(str::to_owned).into();
-        for described in self.calls.iter().chain(&self.notifications) {
+        for described in self.calls.iter().chain(&self.front_messages) {
             items.extend(described.items(&self.asyncapi, None));
         }
         for described in self.responses.bodies.values() {
@@ -279,7 +279,7 @@
         items
     }
 
-    /// The result for all recorded exchanges.
+    /// Returns the result for all exchanges that were recorded.
     #[must_use]
     pub fn report(&self, exceptions: &[Exception]) -> ConformanceReport {
         let items = self.items();
@@ -295,13 +295,13 @@
         ConformanceReport {
             undescribed: self.undescribed.clone(),
             unseen: unseen.cloned().collect(),
-            needless: needless.map(|exception| exception.item.clone()).collect(),
-            looked_at: self.looked_at,
+            needless_exceptions: needless.map(|exception| exception.item.clone()).collect(),
+            checked_count: self.checked_count,
         }
     }
 }
 
-/// The value that a body is checked as; `None` if its media type is JSON and it is not.
+/// The value of a body that is checked against its schema. `None` if its media type is JSON but it is not valid JSON.
 fn parse_body(media: &str, body: &str) -> Option<Value> {
     if media.contains("json") {
         return serde_json::from_str(body).ok();
--- a/crates/api/src/conform/documents.rs
+++ b/crates/api/src/conform/documents.rs
@@ -1,11 +1,11 @@
-//! Reads what the published documents describe, with compiled schemas.
+//! Reads the described messages and responses from the published documents, and compiles their schemas.
 use super::{Described, ANY_PATH};
 use crate::errors::ApiError;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A described message or body; its schema may refer to the document's components.
-fn describe(document: &Value, name: String, schema: &Value) -> Result<Described, ApiError> {
+/// Compiles the schema of a message or a body, which may refer to the document's components.
+fn compile(document: &Value, name: String, schema: &Value) -> Result<Described, ApiError> {
     let with_components = json!({"allOf": [schema], "components": document["components"]});
     match jsonschema::draft202012::new(&with_components) {
         Ok(validator) => Ok(Described {
@@ -30,7 +30,7 @@
     resolve(document, value["$ref"].as_str()?)
 }
 
-/// The messages of an operation of an AsyncAPI document.
+/// Reads the messages of an operation from an AsyncAPI document.
 pub(super) fn messages_of(document: &Value, operation: &str) -> Result<Vec<Described>, ApiError> {
     let listed = document["operations"][operation]["messages"].as_array();
     let Some(listed) = listed else {
@@ -49,12 +49,12 @@
                 message: entry.to_string(),
             });
         };
-        messages.push(describe(document, name.to_owned(), &message["payload"])?);
+        messages.push(compile(document, name.to_owned(), &message["payload"])?);
     }
     Ok(messages)
 }
 
-/// A path and a status of its responses.
+/// The path and the status of a described response.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct StatusKey {
     pub(super) path: String,
@@ -62,13 +62,13 @@
 }
 
 impl StatusKey {
-    /// The name of the described response.
+    /// The name of the item for this response.
     pub(super) fn item(&self) -> String {
         format!("GET {} {}", self.path, self.status)
     }
 }
 
-/// A response with a body of one media type.
+/// The response and the media type of a described body.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct BodyKey {
     pub(super) status: StatusKey,
@@ -79,7 +79,7 @@
 #[derive(Default)]
 pub(super) struct Responses {
     pub(super) bodies: BTreeMap<BodyKey, Described>,
-    /// Responses without a body.
+    /// The responses without a body.
     pub(super) statuses: BTreeSet<StatusKey>,
 }
 
@@ -108,7 +108,7 @@
                 continue;
             };
             for (media, media_type) in content {
-                let described = describe(document, key().item(), &media_type["schema"])?;
+                let described = compile(document, key().item(), &media_type["schema"])?;
                 let key = BodyKey {
                     status: key(),
                     media: media.clone(),
@@ -120,8 +120,8 @@
     }
 }
 
-/// Collects the names of the items that a schema describes: each property, and each value of an enum. With an instance only those
-/// that it contains.
+/// Collects the names of the items that a schema describes: each property, and each value of an enum. With an instance, only
+/// the items that it contains.
 pub(super) fn collect_items(
     document: &Value,
     schema: &Value,
@@ -137,7 +137,7 @@
             collect_items(document, alternative, instance, path, items);
         }
     }
-    // An enum's values are listed as such, or as constants of alternatives that each have a description.
+    // The values of an enum are listed directly, or as the constants of alternatives if each has its own description.
     let constants = elements(&schema["oneOf"]).filter_map(|alternative| alternative.get("const"));
     for value in elements(&schema["enum"]).chain(constants) {
         if instance.is_none_or(|instance| instance == value) {
--- a/crates/api/src/conform/tests.rs
+++ b/crates/api/src/conform/tests.rs
@@ -1,4 +1,4 @@
-//! Traffic that is checked against documents.
+//! Recorded traffic that is checked against the published documents.
 use super::*;
 
 fn checker() -> ConformanceChecker {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn what_no_description_allows_is_found() {
+fn messages_that_no_description_allows_are_reported() {
     let good = r#"{"jsonrpc":"2.0","id":1,"error":{"code":-32001,"message":"refused","data":{"reason":"no_room","retry_after_ms":5}}}"#;
     assert_eq!(report_of(good).undescribed, Vec::<String>::new());
     for (from, to) in [
@@ -39,7 +39,7 @@
             "{from} -> {to}"
         );
     }
-    // In a batch each is looked at.
+    // Each message of a batch is checked.
     assert_eq!(
         report_of(&format!("[{good},{}]", good.replace("no_room", "none")))
             .undescribed
@@ -48,32 +48,36 @@
     );
 }
 
+/// Records one HTTP response; returns the number of exchanges that no description allows.
+fn undescribed_count(method: &str, path: &str, status: u16, media: &str, body: &str) -> usize {
+    let mut checker = checker();
+    checker.record(&Exchange::Http {
+        method: method.to_owned(),
+        path: path.to_owned(),
+        status,
+        media: media.to_owned(),
+        body: body.to_owned(),
+    });
+    checker.report(&[]).undescribed.len()
+}
+
 #[test]
-fn answers_over_http_are_held_against_their_path_and_status() {
-    let http = |method: &str, path: &str, status, media: &str, body: &str| {
-        let mut checker = checker();
-        let (method, path) = (method.to_owned(), path.to_owned());
-        checker.record(&Exchange::Http {
-            method,
-            path,
-            status,
-            media: media.to_owned(),
-            body: body.to_owned(),
-        });
-        checker.report(&[]).undescribed.len()
-    };
+fn http_responses_are_checked_by_path_and_status() {
     let health = r#"{"state":"ready","waiting":0,"playing":0,"connections":1}"#;
     let problem = r#"{"type":"about:blank","title":"Not Found","status":404,"detail":"x"}"#;
     let (json, details) = ("application/json", "application/problem+json");
-    assert_eq!(http("GET", "/health", 200, json, health), 0);
-    assert_eq!(http("GET", "/nothing", 404, details, problem), 0);
+    assert_eq!(undescribed_count("GET", "/health", 200, json, health), 0);
     assert_eq!(
-        http("DELETE", "/health", 405, details, problem),
+        undescribed_count("GET", "/nothing", 404, details, problem),
+        0
+    );
+    assert_eq!(
+        undescribed_count("DELETE", "/health", 405, details, problem),
         1,
-        "its status is another"
+        "the status in the body must be that of the response"
     );
     assert_eq!(
-        http(
+        undescribed_count(
             "DELETE",
             "/health",
             405,
@@ -82,7 +86,7 @@
         ),
         0
     );
-    assert_eq!(http("GET", "/session", 101, "", ""), 0);
+    assert_eq!(undescribed_count("GET", "/session", 101, "", ""), 0);
     for (method, path, status, media, body) in [
         ("GET", "/health", 201, json, health.to_owned()),
         ("GET", "/health", 200, "text/plain", health.to_owned()),
@@ -105,7 +109,7 @@
         ("GET", "/session", 200, "", String::new()),
     ] {
         assert_eq!(
-            http(method, path, status, media, &body),
+            undescribed_count(method, path, status, media, &body),
             1,
             "{method} {path} {status} {media} {body}"
         );
@@ -113,7 +117,7 @@
 }
 
 #[test]
-fn what_is_described_and_was_never_exchanged_is_found_down_to_values() {
+fn described_items_that_were_never_exchanged_are_reported() {
     let end = r#"{"jsonrpc":"2.0","method":"session.end","params":{"session":"s-1","reason":"finished"}}"#;
     let unseen = report_of(end).unseen;
     assert!(!unseen.contains("end") && !unseen.contains("end.params.reason = \"finished\""));
@@ -133,35 +137,38 @@
 }
 
 #[test]
-fn exceptions_excuse_what_they_name_and_must_be_needed() {
+fn exceptions_cover_the_items_they_name_and_must_be_needed() {
     let mut checker = checker();
-    let end = r#"{"jsonrpc":"2.0","method":"session.move","params":{"session":"s-1"}}"#;
+    let moved = r#"{"jsonrpc":"2.0","method":"session.move","params":{"session":"s-1"}}"#;
     checker.record(&Exchange::Text {
         call: false,
-        text: end.into(),
+        text: moved.into(),
     });
     let exception = |item: &str, reason: &str| Exception {
         item: item.into(),
         reason: reason.into(),
     };
-    let all = [
+    let exceptions = [
         exception("end", "a reason"),
         exception("move", "it was seen"),
         exception("nothing of this name", "a reason"),
         exception("rung", " "),
     ];
-    let report = checker.report(&all);
+    let report = checker.report(&exceptions);
     assert!(!report.unseen.contains("end") && !report.unseen.contains("end.params.reason"));
     assert!(report.unseen.contains("close") && report.unseen.contains("closed"));
-    assert_eq!(report.needless, ["move", "nothing of this name", "rung"]);
+    assert_eq!(
+        report.needless_exceptions,
+        ["move", "nothing of this name", "rung"]
+    );
     assert!(
         !report.agrees() && !ConformanceReport::default().agrees(),
-        "a run of nothing shows nothing"
+        "a report without traffic does not agree"
     );
 }
 
 #[test]
-fn broken_documents_are_refused() {
+fn invalid_documents_are_rejected() {
     assert!(ConformanceChecker::new("{", "{}").is_err());
     assert!(ConformanceChecker::new(crate::PRESENT, "{}").is_err());
     let dangling =
--- a/crates/api/src/describe/asyncapi.rs
+++ b/crates/api/src/describe/asyncapi.rs
@@ -1,19 +1,19 @@
 //! The AsyncAPI 3.0 documents of the session API.
-use super::messages::{messages, Message, MessageKind};
-use super::{generator, number, prune, release};
+use super::messages::{messages, Message, MessageSender};
+use super::{document_version, generator, remove_later_additions, version_number};
 use crankpaddle_session_api::Version;
 use serde_json::{json, Map, Value};
 
-/// References to the messages of one kind, as an operation lists them.
-fn references(messages: &[Message], kind: MessageKind) -> Vec<Value> {
+/// References to the messages of one sender, as an operation lists them.
+fn references(messages: &[Message], sender: MessageSender) -> Vec<Value> {
     messages
         .iter()
-        .filter(|message| message.kind == kind)
+        .filter(|message| message.sender == sender)
         .map(|message| json!({"$ref": format!("#/channels/session/messages/{}", message.name)}))
         .collect()
 }
 
-/// The AsyncAPI 3.0 document of a version.
+/// Generates the AsyncAPI 3.0 document of a version.
 pub(super) fn asyncapi(version: Version) -> Value {
     let mut schemas = generator();
     let messages = messages(&mut schemas);
@@ -33,7 +33,7 @@
         "asyncapi": "3.0.0",
         "info": {
             "title": "crankpaddle session API",
-            "version": release(version),
+            "version": document_version(version),
             "description": "JSON-RPC 2.0 over WebSocket. A text frame holds one message, or a batch: an array of calls, \
                 answered by one array when all are answered. A notice of a session follows the answer that makes it \
                 known. A call without an id gets no answer, and none of the methods does anything without one but \
@@ -52,11 +52,11 @@
             }}}},
         }},
         "operations": {
-            "call": {"action": "receive", "channel": {"$ref": "#/channels/session"}, "messages": references(&messages, MessageKind::Call)},
-            "tell": {"action": "send", "channel": {"$ref": "#/channels/session"}, "messages": references(&messages, MessageKind::Notification)},
+            "call": {"action": "receive", "channel": {"$ref": "#/channels/session"}, "messages": references(&messages, MessageSender::Player)},
+            "tell": {"action": "send", "channel": {"$ref": "#/channels/session"}, "messages": references(&messages, MessageSender::Front)},
         },
         "components": {"messages": components, "schemas": schemas.take_definitions(true)},
     });
-    prune(&mut document, number(version));
+    remove_later_additions(&mut document, version_number(version));
     document
 }
--- a/crates/api/src/describe/bodies.rs
+++ b/crates/api/src/describe/bodies.rs
@@ -1,7 +1,8 @@
-//! Bodies of the HTTP answers of `/health` and `/members`.
+//! Bodies of the HTTP responses of `/health` and `/members`.
 //!
-//! The doc comments of the types, fields and variants are the descriptions in the published schemas (`api/*.json`), so they keep the
-//! words of the first release. So do the names that stand in the published JSON: a comment beside each says so.
+//! The doc comments of the types, fields and variants are the descriptions in the published schemas (`api/*.json`), so they
+//! keep the wording of the first release. Names in the published JSON are kept too; an ordinary comment explains those that
+//! are not usual.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/api/src/describe/fleet.rs
+++ b/crates/api/src/describe/fleet.rs
@@ -1,7 +1,8 @@
-//! The body of the answer to `GET /fleet`: the state of recovery and of the store.
+//! The body of the response to `GET /fleet`: the state of recovery and of the store.
 //!
-//! The doc comments of the types, fields and variants are the descriptions in the published schemas (`api/openapi.json`), so they keep
-//! the words of the first release. So do the names in the published JSON: each `rename` gives one to a name of today.
+//! The doc comments of the types, fields and variants are the descriptions in the published schemas (`api/openapi.json`), so
+//! they keep the wording of the first release. Names in the published JSON are kept too: each `rename` gives the published
+//! name of a Rust name.
 use crankpaddle_recovery::{PreviousShutdown, RecoveryStage, StageEvidence};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
--- a/crates/api/src/describe/messages.rs
+++ b/crates/api/src/describe/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of the session API, with their payloads as JSON schemas.
+//! The messages of the session API, with the JSON schemas of their payloads.
 use super::schema;
 use crankpaddle_session_api::answers::{FAILED, REFUSED, SUPERSEDED, UNKNOWN_SESSION};
 use crankpaddle_session_api::jsonrpc::{
@@ -11,46 +11,47 @@
 use schemars::SchemaGenerator;
 use serde_json::{json, Value};
 
-/// Which side sends a message.
+/// The side that sends a message.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum MessageKind {
-    /// A call of a player.
-    Call,
-    /// An answer or a notification of the front.
-    Notification,
+pub(super) enum MessageSender {
+    /// A player, which sends calls.
+    Player,
+    /// The front, which sends answers and notifications.
+    Front,
 }
 
-/// A message and its complete payload.
+/// A message and the schema of its complete payload.
 pub(super) struct Message {
     pub(super) name: &'static str,
     pub(super) summary: &'static str,
-    pub(super) kind: MessageKind,
+    pub(super) sender: MessageSender,
     pub(super) payload: Value,
 }
 
+/// The schema of an object that has no other properties than these.
 fn object(required: &[&str], properties: Value) -> Value {
     json!({"type": "object", "required": required, "properties": properties, "additionalProperties": false})
 }
 
-fn version() -> Value {
+/// The schema of the member `jsonrpc`.
+fn jsonrpc_version() -> Value {
     json!({"const": "2.0"})
 }
 
-/// An id of JSON-RPC.
+/// The schema of the member `id`.
 fn id() -> Value {
     json!({"type": ["string", "number", "null"]})
 }
 
 fn call(name: &'static str, summary: &'static str, method: &str, params: Value) -> Message {
-    let properties =
-        json!({"jsonrpc": version(), "id": id(), "method": {"const": method}, "params": params});
-    // Other members than those of JSON-RPC are ignored, as most of its libraries do.
+    let properties = json!({"jsonrpc": jsonrpc_version(), "id": id(), "method": {"const": method}, "params": params});
+    // Other members are allowed, because the codec ignores them, as most JSON-RPC libraries do.
     let required = ["jsonrpc", "id", "method", "params"];
     let payload = json!({"type": "object", "required": required, "properties": properties});
     Message {
         name,
         summary,
-        kind: MessageKind::Call,
+        sender: MessageSender::Player,
         payload,
     }
 }
@@ -58,17 +59,17 @@
 fn result(name: &'static str, summary: &'static str, result: Value) -> Message {
     let payload = object(
         &["jsonrpc", "id", "result"],
-        json!({"jsonrpc": version(), "id": id(), "result": result}),
+        json!({"jsonrpc": jsonrpc_version(), "id": id(), "result": result}),
     );
     Message {
         name,
         summary,
-        kind: MessageKind::Notification,
+        sender: MessageSender::Front,
         payload,
     }
 }
 
-/// The member `data` of an error, by its schema.
+/// Whether an error has the member `data`, and its schema.
 enum ErrorData {
     None,
     Optional(Value),
@@ -89,12 +90,12 @@
     let error = object(&required, properties);
     let payload = object(
         &["jsonrpc", "id", "error"],
-        json!({"jsonrpc": version(), "id": id(), "error": error}),
+        json!({"jsonrpc": jsonrpc_version(), "id": id(), "error": error}),
     );
     Message {
         name,
         summary,
-        kind: MessageKind::Notification,
+        sender: MessageSender::Front,
         payload,
     }
 }
@@ -102,27 +103,27 @@
 fn notification(name: &'static str, summary: &'static str, method: &str, params: Value) -> Message {
     let payload = object(
         &["jsonrpc", "method", "params"],
-        json!({"jsonrpc": version(), "method": {"const": method}, "params": params}),
+        json!({"jsonrpc": jsonrpc_version(), "method": {"const": method}, "params": params}),
     );
     Message {
         name,
         summary,
-        kind: MessageKind::Notification,
+        sender: MessageSender::Front,
         payload,
     }
 }
 
 /// All messages of the session API, in the order in which the document lists them.
 pub(super) fn messages(schemas: &mut SchemaGenerator) -> Vec<Message> {
-    let mut all = calls(schemas);
-    all.extend(results(schemas));
-    all.extend(session_errors(schemas));
-    all.extend(protocol_errors(schemas));
-    all.extend(notifications(schemas));
-    all
+    let mut messages = calls(schemas);
+    messages.extend(results(schemas));
+    messages.extend(session_errors(schemas));
+    messages.extend(protocol_errors(schemas));
+    messages.extend(notifications(schemas));
+    messages
 }
 
-/// Calls of players.
+/// The calls of players.
 fn calls(schemas: &mut SchemaGenerator) -> Vec<Message> {
     vec![
         call(
@@ -146,7 +147,7 @@
     ]
 }
 
-/// Answers to a call that succeeded.
+/// The answers to calls that succeed.
 fn results(schemas: &mut SchemaGenerator) -> Vec<Message> {
     vec![
         result("opened", "The session plays.", schema::<Opened>(schemas)),
@@ -158,7 +159,7 @@
     ]
 }
 
-/// Answers to a call that was rejected or failed.
+/// The answers to calls that are rejected or fail.
 fn session_errors(schemas: &mut SchemaGenerator) -> Vec<Message> {
     vec![
         error(
@@ -188,7 +189,7 @@
     ]
 }
 
-/// Answers to an invalid call.
+/// The answers to invalid calls.
 fn protocol_errors(schemas: &mut SchemaGenerator) -> Vec<Message> {
     vec![
         error(
@@ -218,7 +219,7 @@
     ]
 }
 
-/// Messages that the front sends without a call.
+/// The messages that the front sends without a call.
 fn notifications(schemas: &mut SchemaGenerator) -> Vec<Message> {
     vec![
         notification(
--- a/crates/api/src/describe/mod.rs
+++ b/crates/api/src/describe/mod.rs
@@ -1,4 +1,4 @@
-//! Generates the published documents from the codec's types.
+//! Generates the published documents from the types that the codec reads and writes.
 mod asyncapi;
 mod bodies;
 mod fleet;
@@ -15,26 +15,26 @@
 use schemars::{JsonSchema, SchemaGenerator};
 use serde_json::Value;
 
-/// The release of a version's description. Its last number changes with each change of the texts.
-fn release(version: Version) -> &'static str {
+/// The version number of a version's description. Its last part changes with each change of the texts.
+fn document_version(version: Version) -> &'static str {
     match version {
         Version::V1 => "1.0.0",
         Version::V2 => "2.0.0",
     }
 }
 
-/// The number of a version, as `x-since` states it.
-fn number(version: Version) -> u64 {
+/// The number of an API version, as `x-since` gives it.
+fn version_number(version: Version) -> u64 {
     match version {
         Version::V1 => 1,
         Version::V2 => 2,
     }
 }
 
-/// Removes what later versions added from a schema: properties and values that state in `x-since` which version added them.
-fn prune(value: &mut Value, version: u64) {
-    let is_later = |part: &Value| {
-        part["x-since"]
+/// Removes from a schema what later versions added: properties and enum values with a later version in `x-since`.
+fn remove_later_additions(value: &mut Value, version: u64) {
+    let is_later = |element: &Value| {
+        element["x-since"]
             .as_u64()
             .is_some_and(|since| since > version)
     };
@@ -43,55 +43,63 @@
             if let Some(Value::Object(properties)) = fields.get_mut("properties") {
                 properties.retain(|_, property| !is_later(property));
             }
-            for word in ["oneOf", "anyOf"] {
-                if let Some(Value::Array(alternatives)) = fields.get_mut(word) {
+            for keyword in ["oneOf", "anyOf"] {
+                if let Some(Value::Array(alternatives)) = fields.get_mut(keyword) {
                     alternatives.retain(|alternative| !is_later(alternative));
                 }
             }
-            fields.values_mut().for_each(|inner| prune(inner, version));
+            fields
+                .values_mut()
+                .for_each(|inner| remove_later_additions(inner, version));
         }
-        Value::Array(all) => all.iter_mut().for_each(|inner| prune(inner, version)),
+        Value::Array(elements) => elements
+            .iter_mut()
+            .for_each(|inner| remove_later_additions(inner, version)),
         _ => {}
     }
 }
 
-/// The path of the shared schemas in both documents.
-const SCHEMAS: &str = "/components/schemas";
+/// Path of the shared schemas in both documents.
+const SCHEMAS_PATH: &str = "/components/schemas";
 
 fn generator() -> SchemaGenerator {
     SchemaSettings::draft2020_12()
-        .with(|settings| settings.definitions_path = SCHEMAS.into())
+        .with(|settings| settings.definitions_path = SCHEMAS_PATH.into())
         .into_generator()
 }
 
+/// The schema of a type, with references to the shared schemas.
 fn schema<T: JsonSchema>(generator: &mut SchemaGenerator) -> Value {
     generator.subschema_for::<T>().to_value()
 }
 
-/// The schema of a type without its document, to be narrowed where it is used.
-fn plain<T: JsonSchema>() -> Value {
+/// The schema of a type without references to shared schemas, so that its use can restrict it further.
+fn inline_schema<T: JsonSchema>() -> Value {
     let mut schema = generator().into_root_schema_for::<T>().to_value();
     if let Some(fields) = schema.as_object_mut() {
-        for word in ["$schema", "$defs", "components"] {
-            fields.remove(word);
+        for keyword in ["$schema", "$defs", "components"] {
+            fields.remove(keyword);
         }
     }
     schema
 }
 
-/// The committed form of a document: sorted, indented, with one newline at its end.
-fn text(document: &Value) -> String {
+/// The text of a document as it is committed: sorted and indented JSON with a newline at its end.
+fn document_text(document: &Value) -> String {
     serde_json::to_string_pretty(document).unwrap_or_default() + "\n"
 }
 
-/// All published files, with their names.
+/// Generates all published files. Returns their names and contents.
 pub fn files() -> Vec<(&'static str, String)> {
-    let (present, openapi) = (asyncapi(Version::V2), openapi());
-    let page = crate::page::html(&present, &openapi);
+    let (current, openapi) = (asyncapi(Version::V2), openapi());
+    let page = crate::page::render_page(&current, &openapi);
     vec![
-        ("session.v2.asyncapi.json", text(&present)),
-        ("session.v1.asyncapi.json", text(&asyncapi(Version::V1))),
-        ("openapi.json", text(&openapi)),
+        ("session.v2.asyncapi.json", document_text(&current)),
+        (
+            "session.v1.asyncapi.json",
+            document_text(&asyncapi(Version::V1)),
+        ),
+        ("openapi.json", document_text(&openapi)),
         ("index.html", page),
     ]
 }
--- a/crates/api/src/describe/tests.rs
+++ b/crates/api/src/describe/tests.rs
@@ -1,58 +1,63 @@
-//! The published documents are those that the codec's types generate, and each version announces its changes.
+//! The published documents are those that the codec's types generate, and a version only makes the intended changes.
 use super::*;
-use crate::diff::{diff, Class};
+use crate::diff::{diff, Compatibility};
 
 #[test]
-fn the_published_descriptions_are_those_of_the_codec() {
+fn the_published_files_are_up_to_date() {
     let published = [crate::PRESENT, crate::PREVIOUS, crate::OPENAPI, crate::PAGE];
-    for ((name, made), published) in files().into_iter().zip(published) {
+    for ((name, generated), published) in files().into_iter().zip(published) {
         assert!(
-            made == published,
-            "api/{name} is old: run crankpaddle api describe api"
+            generated == published,
+            "api/{name} is out of date: run `crankpaddle api describe api`"
         );
     }
 }
 
 #[test]
-fn the_present_version_differs_from_the_previous_one_by_what_its_name_announces() {
+fn the_current_version_makes_only_the_intended_changes() {
     let changes = diff(
         &crate::parsed(crate::PREVIOUS),
         &crate::parsed(crate::PRESENT),
     )
     .unwrap();
-    let said: Vec<(String, Class)> = changes
+    let described: Vec<(String, Compatibility)> = changes
         .iter()
-        .map(|c| (format!("{}: {}", c.at, c.what), c.class))
+        .map(|change| {
+            (
+                format!("{}: {}", change.location, change.description),
+                change.compatibility,
+            )
+        })
         .collect();
-    // Both are wider for what servers send: an old client may not know them, so they have a version of their own.
+    // Both changes extend what servers send. An old client may not know the additions, so they need a new version.
     assert_eq!(
-        said,
+        described,
         [
             (
-                "opened.result.hall: new, optional".to_owned(),
-                Class::ForOldServers
+                "opened.result.hall: an optional property was added".to_owned(),
+                Compatibility::ForOldServers
             ),
             (
-                "refused.error.data.reason: \"held_at_home\" is new".to_owned(),
-                Class::ForOldServers
+                "refused.error.data.reason: \"held_at_home\" was added".to_owned(),
+                Compatibility::ForOldServers
             ),
         ]
     );
 }
 
 #[test]
-fn the_last_released_descriptions_still_hold() {
+fn released_descriptions_are_unchanged() {
     let released: [(&str, &str, Value); 1] = [(
         "session.v1",
         include_str!("../../../../api/released/session.v1.asyncapi.json"),
         asyncapi(Version::V1),
     )];
-    for (name, text, made) in released {
-        let changes = diff(&crate::parsed(text), &made).unwrap();
+    for (name, text, generated) in released {
+        let changes = diff(&crate::parsed(text), &generated).unwrap();
         assert_eq!(
             changes,
             [],
-            "{name} was released: what changes it wants a version of its own"
+            "{name} is released: a change needs a new version"
         );
     }
 }
--- a/crates/api/src/diff.rs
+++ b/crates/api/src/diff.rs
@@ -1,9 +1,10 @@
 //! Compares two versions of a description, and classifies each change by its effect on clients and servers of the old version.
 //!
-//! A schema stands for the set of values that it allows. A change makes this set wider, narrower, or both. A receiver understands a
-//! sender if its version allows every value that the sender's version allows. So for messages of clients, old clients keep working if
-//! no set became narrower, and old servers understand new clients if no set became wider; for messages of servers it is the other way
-//! round. A change that the comparison does not understand counts as both.
+//! A schema describes the set of values that it allows. A change makes this set wider, narrower, or both. A receiver
+//! understands a sender if the receiver's version allows every value that the sender's version allows. For messages of clients
+//! this means that old clients work with new servers if no set became narrower, and new clients work with old servers if no set
+//! became wider. For messages of servers it is the other way round. A change that the comparison does not understand counts as
+//! wider and narrower.
 mod schemas;
 
 use crate::errors::ApiError;
@@ -11,19 +12,19 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The sender of what changed.
+/// The side that sends the values whose schema changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// Of calls, and of requests for paths.
+    /// The client sends calls and HTTP requests.
     Client,
-    /// Of answers, notifications and statuses.
+    /// The server sends answers, notifications and HTTP responses.
     Server,
 }
 
 /// The effect of a change on old clients and old servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Class {
-    /// None: old clients and old servers keep working.
+pub enum Compatibility {
+    /// No effect: old clients and old servers keep working.
     Compatible,
     /// Old clients keep working with new servers; new clients can't rely on old servers.
     ForOldClients,
@@ -33,13 +34,13 @@
     Breaking,
 }
 
-impl fmt::Display for Class {
+impl fmt::Display for Compatibility {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Class::Compatible => "compatible",
-            Class::ForOldClients => "compatible for old clients",
-            Class::ForOldServers => "compatible for old servers",
-            Class::Breaking => "breaking",
+            Compatibility::Compatible => "compatible",
+            Compatibility::ForOldClients => "compatible for old clients",
+            Compatibility::ForOldServers => "compatible for old servers",
+            Compatibility::Breaking => "breaking",
         })
     }
 }
@@ -47,22 +48,26 @@
 /// A change between two versions of a description.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The place in the description.
-    pub at: String,
+    /// Where the change is, such as `refused.error.data.reason`.
+    pub location: String,
     /// What changed there.
-    pub what: String,
-    /// Its effect.
-    pub class: Class,
+    pub description: String,
+    /// The effect of the change.
+    pub compatibility: Compatibility,
 }
 
 impl fmt::Display for Change {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}: {}", self.class, self.at, self.what)
+        write!(
+            formatter,
+            "{}: {}: {}",
+            self.compatibility, self.location, self.description
+        )
     }
 }
 
 /// Keywords of a schema that do not restrict the allowed values.
-const PROSE: [&str; 8] = [
+const ANNOTATION_KEYWORDS: [&str; 8] = [
     "title",
     "description",
     "summary",
@@ -74,7 +79,7 @@
 ];
 
 /// Keywords of a schema that are compared by their meaning.
-const COMPARED: [&str; 10] = [
+const COMPARED_KEYWORDS: [&str; 10] = [
     "type",
     "properties",
     "required",
@@ -95,22 +100,26 @@
 
 /// How the set of allowed values changed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Set {
+enum SetChange {
     Wider,
     Narrower,
-    /// Wider and narrower, or not understood.
-    Other,
+    /// Wider and narrower, or changed in a way that is not understood.
+    Incomparable,
 }
 
-fn class(sender: Sender, set: Set) -> Class {
-    match (sender, set) {
-        (_, Set::Other) => Class::Breaking,
-        (Sender::Client, Set::Wider) | (Sender::Server, Set::Narrower) => Class::ForOldClients,
-        (Sender::Client, Set::Narrower) | (Sender::Server, Set::Wider) => Class::ForOldServers,
+fn compatibility_of(sender: Sender, set_change: SetChange) -> Compatibility {
+    match (sender, set_change) {
+        (_, SetChange::Incomparable) => Compatibility::Breaking,
+        (Sender::Client, SetChange::Wider) | (Sender::Server, SetChange::Narrower) => {
+            Compatibility::ForOldClients
+        }
+        (Sender::Client, SetChange::Narrower) | (Sender::Server, SetChange::Wider) => {
+            Compatibility::ForOldServers
+        }
     }
 }
 
-/// All changes from one description to another, both AsyncAPI or both OpenAPI.
+/// Returns all changes from one description to another. Both must be AsyncAPI, or both OpenAPI.
 ///
 /// # Errors
 /// The two documents are of different kinds, or of an unknown one.
@@ -132,7 +141,7 @@
     Ok(comparison.changes)
 }
 
-/// References of references are followed this often, so that a cycle ends.
+/// Maximum number of references that are followed in a row, so that a cycle ends.
 const MAX_REFERENCE_DEPTH: usize = 16;
 
 /// Follows references through a document.
@@ -149,6 +158,7 @@
     value
 }
 
+/// The property names of an object; none of any other value.
 fn keys(value: &Value) -> BTreeSet<String> {
     value
         .as_object()
@@ -157,28 +167,28 @@
         .collect()
 }
 
-/// The values that an enum allows, as such or as constants of alternatives; `None` if the schema is not an enum.
-fn values(schema: &Value) -> Option<Vec<Value>> {
+/// The values that an enum allows, listed directly or as the constants of alternatives. `None` if the schema is not an enum.
+fn enum_values(schema: &Value) -> Option<Vec<Value>> {
     if let Some(list) = schema["enum"].as_array() {
         return Some(list.clone());
     }
-    let mut all = Vec::new();
+    let mut values = Vec::new();
     for alternative in schema["oneOf"].as_array()? {
         match (alternative.get("const"), alternative["enum"].as_array()) {
-            (Some(value), _) => all.push(value.clone()),
-            (None, Some(list)) => all.extend(list.iter().cloned()),
+            (Some(value), _) => values.push(value.clone()),
+            (None, Some(list)) => values.extend(list.iter().cloned()),
             (None, None) => return None,
         }
     }
-    Some(all)
+    Some(values)
 }
 
-/// The elements of an array, any other value as the only element, and none for null.
-fn list(value: &Value) -> Vec<Value> {
+/// The elements of an array. `null` has none, and any other value is its own only element.
+fn as_list(value: &Value) -> Vec<Value> {
     match value {
-        Value::Array(all) => all.clone(),
+        Value::Array(elements) => elements.clone(),
         Value::Null => Vec::new(),
-        one => vec![one.clone()],
+        single => vec![single.clone()],
     }
 }
 
@@ -197,11 +207,17 @@
 }
 
 impl Comparison<'_> {
-    fn found(&mut self, sender: Sender, at: &str, set: Set, what: impl Into<String>) {
+    fn add(
+        &mut self,
+        sender: Sender,
+        location: &str,
+        set_change: SetChange,
+        description: impl Into<String>,
+    ) {
         self.changes.push(Change {
-            at: at.to_owned(),
-            what: what.into(),
-            class: class(sender, set),
+            location: location.to_owned(),
+            description: description.into(),
+            compatibility: compatibility_of(sender, set_change),
         });
     }
 
@@ -211,12 +227,12 @@
         for (name, payload) in &before {
             match after.iter().find(|(other, _)| other == name) {
                 Some((_, new_payload)) => self.schema(sender, name, payload, new_payload),
-                None => self.found(sender, name, Set::Narrower, "the message is gone"),
+                None => self.add(sender, name, SetChange::Narrower, "the message was removed"),
             }
         }
         for (name, _) in &after {
             if !before.iter().any(|(other, _)| other == name) {
-                self.found(sender, name, Set::Wider, "a new message");
+                self.add(sender, name, SetChange::Wider, "the message was added");
             }
         }
     }
@@ -227,9 +243,16 @@
         for path in keys(before).union(&keys(after)) {
             match (before.get(path), after.get(path)) {
                 (Some(_), None) => {
-                    self.found(Sender::Client, path, Set::Narrower, "the path is gone");
+                    self.add(
+                        Sender::Client,
+                        path,
+                        SetChange::Narrower,
+                        "the path was removed",
+                    );
+                }
+                (None, Some(_)) => {
+                    self.add(Sender::Client, path, SetChange::Wider, "the path was added");
                 }
-                (None, Some(_)) => self.found(Sender::Client, path, Set::Wider, "a new path"),
                 (Some(was), Some(is)) => {
                     self.responses(
                         &format!("GET {path}"),
@@ -247,35 +270,45 @@
         self.responses("any request", was, is);
     }
 
-    fn responses(&mut self, at: &str, before: &Value, after: &Value) {
+    fn responses(&mut self, request: &str, before: &Value, after: &Value) {
         for status in keys(before).union(&keys(after)) {
-            let place = format!("{at} {status}");
+            let location = format!("{request} {status}");
             match (before.get(status), after.get(status)) {
                 (Some(_), None) => {
-                    self.found(Sender::Server, &place, Set::Narrower, "the status is gone");
+                    self.add(
+                        Sender::Server,
+                        &location,
+                        SetChange::Narrower,
+                        "the status was removed",
+                    );
                 }
-                (None, Some(_)) => self.found(Sender::Server, &place, Set::Wider, "a new status"),
+                (None, Some(_)) => self.add(
+                    Sender::Server,
+                    &location,
+                    SetChange::Wider,
+                    "the status was added",
+                ),
                 (Some(was), Some(is)) => {
-                    self.media_types(&place, &was["content"], &is["content"]);
+                    self.media_types(&location, &was["content"], &is["content"]);
                 }
                 (None, None) => {}
             }
         }
     }
 
-    fn media_types(&mut self, place: &str, before: &Value, after: &Value) {
+    fn media_types(&mut self, location: &str, before: &Value, after: &Value) {
         for media in keys(before).union(&keys(after)) {
             match (before.get(media), after.get(media)) {
                 (Some(was), Some(is)) => {
-                    self.schema(Sender::Server, place, &was["schema"], &is["schema"]);
+                    self.schema(Sender::Server, location, &was["schema"], &is["schema"]);
                 }
                 (Some(_), None) => {
-                    let what = format!("no {media} any more");
-                    self.found(Sender::Server, place, Set::Narrower, what);
+                    let description = format!("the media type {media} was removed");
+                    self.add(Sender::Server, location, SetChange::Narrower, description);
                 }
                 (None, _) => {
-                    let what = format!("{media} too");
-                    self.found(Sender::Server, place, Set::Wider, what);
+                    let description = format!("the media type {media} was added");
+                    self.add(Sender::Server, location, SetChange::Wider, description);
                 }
             }
         }
--- a/crates/api/src/diff/schemas.rs
+++ b/crates/api/src/diff/schemas.rs
@@ -1,190 +1,241 @@
 //! Compares two versions of a JSON schema.
-use super::{keys, list, resolved, values, Comparison, Sender, Set, COMPARED, PROSE};
+use super::{
+    as_list, enum_values, keys, resolved, Comparison, Sender, SetChange, ANNOTATION_KEYWORDS,
+    COMPARED_KEYWORDS,
+};
 use serde_json::Value;
 
 impl Comparison<'_> {
-    pub(super) fn schema(&mut self, sender: Sender, at: &str, before: &Value, after: &Value) {
+    /// Compares two versions of a schema, with all schemas in it.
+    pub(super) fn schema(&mut self, sender: Sender, location: &str, before: &Value, after: &Value) {
         let before = resolved(self.old, before).clone();
         let after = resolved(self.new, after).clone();
-        if let (Some(was), Some(is)) = (values(&before), values(&after)) {
-            self.enum_values(sender, at, &was, &is);
+        if let (Some(was), Some(is)) = (enum_values(&before), enum_values(&after)) {
+            self.compare_enums(sender, location, &was, &is);
             return;
         }
-        self.types(sender, at, &before, &after);
-        self.bounds(sender, at, &before, &after);
-        self.properties(sender, at, &before, &after);
+        self.types(sender, location, &before, &after);
+        self.bounds(sender, location, &before, &after);
+        self.properties(sender, location, &before, &after);
         if before["items"].is_object() && after["items"].is_object() {
-            let place = format!("{at}[]");
-            self.schema(sender, &place, &before["items"], &after["items"]);
+            let element = format!("{location}[]");
+            self.schema(sender, &element, &before["items"], &after["items"]);
         }
-        self.unknown_keywords(sender, at, &before, &after);
+        self.unknown_keywords(sender, location, &before, &after);
     }
 
-    fn enum_values(&mut self, sender: Sender, at: &str, before: &[Value], after: &[Value]) {
+    fn compare_enums(&mut self, sender: Sender, location: &str, before: &[Value], after: &[Value]) {
         for value in before.iter().filter(|value| !after.contains(value)) {
-            self.found(sender, at, Set::Narrower, format!("{value} is gone"));
+            self.add(
+                sender,
+                location,
+                SetChange::Narrower,
+                format!("{value} was removed"),
+            );
         }
         for value in after.iter().filter(|value| !before.contains(value)) {
-            self.found(sender, at, Set::Wider, format!("{value} is new"));
+            self.add(
+                sender,
+                location,
+                SetChange::Wider,
+                format!("{value} was added"),
+            );
         }
     }
 
-    fn types(&mut self, sender: Sender, at: &str, before: &Value, after: &Value) {
-        let (was, is) = (list(&before["type"]), list(&after["type"]));
+    fn types(&mut self, sender: Sender, location: &str, before: &Value, after: &Value) {
+        let (was, is) = (as_list(&before["type"]), as_list(&after["type"]));
         match (was.is_empty(), is.is_empty()) {
             (false, true) => {
-                let what = "any type is allowed on one side only";
-                return self.found(sender, at, Set::Wider, what);
+                let description = "any type is allowed now";
+                return self.add(sender, location, SetChange::Wider, description);
             }
             (true, false) => {
-                let what = "any type is allowed on one side only";
-                return self.found(sender, at, Set::Narrower, what);
+                let description = "any type was allowed before";
+                return self.add(sender, location, SetChange::Narrower, description);
             }
             (true, true) | (false, false) => {}
         }
-        let gone: Vec<&Value> = was.iter().filter(|name| !is.contains(name)).collect();
-        let new: Vec<&Value> = is.iter().filter(|name| !was.contains(name)).collect();
-        match (gone.is_empty(), new.is_empty()) {
+        let removed: Vec<&Value> = was.iter().filter(|name| !is.contains(name)).collect();
+        let added: Vec<&Value> = is.iter().filter(|name| !was.contains(name)).collect();
+        match (removed.is_empty(), added.is_empty()) {
             (false, false) => {
-                self.found(sender, at, Set::Other, format!("was {gone:?}, is {new:?}"));
+                self.add(
+                    sender,
+                    location,
+                    SetChange::Incomparable,
+                    format!("the type was {removed:?}, is {added:?}"),
+                );
             }
             (false, true) => {
-                self.found(sender, at, Set::Narrower, format!("no {gone:?} any more"));
+                self.add(
+                    sender,
+                    location,
+                    SetChange::Narrower,
+                    format!("the type {removed:?} was removed"),
+                );
             }
-            (true, false) => self.found(sender, at, Set::Wider, format!("{new:?} too")),
+            (true, false) => self.add(
+                sender,
+                location,
+                SetChange::Wider,
+                format!("the type {added:?} was added"),
+            ),
             (true, true) => {}
         }
     }
 
-    /// A keyword that is not compared by its meaning counts as breaking where it changed.
-    fn unknown_keywords(&mut self, sender: Sender, at: &str, before: &Value, after: &Value) {
-        for word in keys(before).union(&keys(after)) {
-            let (was, is) = (before.get(word), after.get(word));
-            let known = COMPARED.contains(&word.as_str()) || PROSE.contains(&word.as_str());
+    /// Reports each changed keyword whose meaning the comparison doesn't know as breaking.
+    fn unknown_keywords(&mut self, sender: Sender, location: &str, before: &Value, after: &Value) {
+        for keyword in keys(before).union(&keys(after)) {
+            let (was, is) = (before.get(keyword), after.get(keyword));
+            let known = COMPARED_KEYWORDS.contains(&keyword.as_str())
+                || ANNOTATION_KEYWORDS.contains(&keyword.as_str());
             if known || was == is {
                 continue;
             }
             let shown =
                 |value: Option<&Value>| value.map_or("nothing".to_owned(), Value::to_string);
             let (was, is) = (shown(was), shown(is));
-            let what = format!("{word} was {was}, is {is}: taken as breaking");
-            self.found(sender, at, Set::Other, what);
+            let description = format!("{keyword} was {was}, is {is}: counts as breaking");
+            self.add(sender, location, SetChange::Incomparable, description);
         }
     }
 
-    fn bounds(&mut self, sender: Sender, at: &str, before: &Value, after: &Value) {
-        for (word, least) in [
+    fn bounds(&mut self, sender: Sender, location: &str, before: &Value, after: &Value) {
+        for (keyword, is_minimum) in [
             ("minimum", true),
             ("minLength", true),
             ("maximum", false),
             ("maxLength", false),
         ] {
-            let open = if least {
+            let unbounded = if is_minimum {
                 f64::NEG_INFINITY
             } else {
                 f64::INFINITY
             };
-            let bound = |schema: &Value| schema[word].as_f64().unwrap_or(open);
+            let bound = |schema: &Value| schema[keyword].as_f64().unwrap_or(unbounded);
             let (was, is) = (bound(before), bound(after));
             if was != is {
-                let set = if (is < was) == least {
-                    Set::Wider
+                let set_change = if (is < was) == is_minimum {
+                    SetChange::Wider
                 } else {
-                    Set::Narrower
+                    SetChange::Narrower
                 };
-                self.found(sender, at, set, format!("{word} was {was}, is {is}"));
+                self.add(
+                    sender,
+                    location,
+                    set_change,
+                    format!("{keyword} was {was}, is {is}"),
+                );
             }
         }
     }
 
-    fn properties(&mut self, sender: Sender, at: &str, before: &Value, after: &Value) {
+    fn properties(&mut self, sender: Sender, location: &str, before: &Value, after: &Value) {
         match (is_closed(before), is_closed(after)) {
-            (true, false) => self.found(sender, at, Set::Wider, "other properties are allowed"),
+            (true, false) => self.add(
+                sender,
+                location,
+                SetChange::Wider,
+                "other properties are allowed now",
+            ),
             (false, true) if before["properties"].is_object() => {
-                self.found(sender, at, Set::Narrower, "no other properties are allowed");
+                self.add(
+                    sender,
+                    location,
+                    SetChange::Narrower,
+                    "other properties are not allowed any more",
+                );
             }
             _ => {}
         }
         let (was, is) = (&before["properties"], &after["properties"]);
         for name in keys(was).union(&keys(is)) {
-            let place = format!("{at}.{name}");
+            let property = format!("{location}.{name}");
             match (was.get(name), is.get(name)) {
                 (Some(old), Some(new)) => {
                     let required = (requires(before, name), requires(after, name));
-                    self.requirement(sender, &place, required);
-                    self.schema(sender, &place, old, new);
+                    self.requirement(sender, &property, required);
+                    self.schema(sender, &property, old, new);
                 }
                 (Some(_), None) => {
                     let required = requires(before, name);
-                    self.property_removed(sender, &place, required, is_closed(after));
+                    self.property_removed(sender, &property, required, is_closed(after));
                 }
                 (None, Some(_)) => {
                     let required = requires(after, name);
-                    self.property_added(sender, &place, required, is_closed(before));
+                    self.property_added(sender, &property, required, is_closed(before));
                 }
                 (None, None) => {}
             }
         }
     }
 
-    /// `required`: whether the property was required before, and is now.
-    fn requirement(&mut self, sender: Sender, place: &str, required: (bool, bool)) {
+    /// Compares whether a property is required; `required` has the value before and the one now.
+    fn requirement(&mut self, sender: Sender, property: &str, required: (bool, bool)) {
         match required {
-            (false, true) => self.found(sender, place, Set::Narrower, "must be there now"),
-            (true, false) => self.found(sender, place, Set::Wider, "may be missing now"),
+            (false, true) => self.add(sender, property, SetChange::Narrower, "is required now"),
+            (true, false) => self.add(sender, property, SetChange::Wider, "is optional now"),
             (true, true) | (false, false) => {}
         }
     }
 
-    fn property_removed(&mut self, sender: Sender, place: &str, required: bool, is_closed: bool) {
-        let what = if required {
-            "a needed property is gone"
+    fn property_removed(
+        &mut self,
+        sender: Sender,
+        property: &str,
+        required: bool,
+        is_closed: bool,
+    ) {
+        let description = if required {
+            "a required property was removed"
         } else {
-            "is gone"
+            "an optional property was removed"
         };
-        // In an open object any value of the property is allowed now.
-        let set = if is_closed {
-            set_in_closed_object(required, Set::Narrower)
+        // An object that allows other properties now allows any value of this one.
+        let set_change = if is_closed {
+            set_in_closed_object(required, SetChange::Narrower)
         } else {
-            Set::Wider
+            SetChange::Wider
         };
-        self.found(sender, place, set, what);
+        self.add(sender, property, set_change, description);
     }
 
-    fn property_added(&mut self, sender: Sender, place: &str, required: bool, was_closed: bool) {
-        let what = if required {
-            "new, and must be there"
+    fn property_added(&mut self, sender: Sender, property: &str, required: bool, was_closed: bool) {
+        let description = if required {
+            "a required property was added"
         } else {
-            "new, optional"
+            "an optional property was added"
         };
-        // In an open object any value of the property was allowed before.
-        let set = if was_closed {
-            set_in_closed_object(required, Set::Wider)
+        // An object that allowed other properties before allowed any value of this one.
+        let set_change = if was_closed {
+            set_in_closed_object(required, SetChange::Wider)
         } else {
-            Set::Narrower
+            SetChange::Narrower
         };
-        self.found(sender, place, set, what);
+        self.add(sender, property, set_change, description);
     }
 }
 
-/// How the set of a closed object changes when a property is added or removed. If the property is required, no object is allowed both
-/// before and after.
-fn set_in_closed_object(required: bool, set_if_optional: Set) -> Set {
+/// How the set of allowed objects changes when a property of a closed object is added or removed. If the property is required,
+/// no object is allowed both before and after.
+fn set_in_closed_object(required: bool, set_change_if_optional: SetChange) -> SetChange {
     if required {
-        Set::Other
+        SetChange::Incomparable
     } else {
-        set_if_optional
+        set_change_if_optional
     }
 }
 
-/// Whether an object can have no other properties than those listed.
+/// Whether an object must not have other properties than those listed.
 fn is_closed(schema: &Value) -> bool {
     schema["additionalProperties"] == false
 }
 
 /// Whether a property must be present.
 fn requires(schema: &Value, name: &str) -> bool {
-    list(&schema["required"])
+    as_list(&schema["required"])
         .iter()
         .any(|required| required == name)
 }
--- a/crates/api/src/errors.rs
+++ b/crates/api/src/errors.rs
@@ -4,35 +4,35 @@
 /// Why descriptions can't be read or compared.
 #[derive(Debug, Error)]
 pub enum ApiError {
-    /// A document or a sample is not JSON.
+    /// A document or a recorded message is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The AsyncAPI document lacks an operation.
-    #[error("AsyncAPI has no operation {operation:?}")]
+    /// The AsyncAPI document has no operation of this name.
+    #[error("the AsyncAPI document has no operation {operation:?}")]
     MissingOperation {
-        /// The operation's name.
+        /// Name of the operation.
         operation: String,
     },
-    /// A message of an operation has a dangling reference.
-    #[error("a message of {operation:?} refers to nothing: {message}")]
+    /// A message of an operation is a reference without a target.
+    #[error("a message of operation {operation:?} is a dangling reference: {message}")]
     DanglingReference {
-        /// The operation's name.
+        /// Name of the operation.
         operation: String,
-        /// The message as the document has it.
+        /// The reference, as JSON.
         message: String,
     },
     /// The OpenAPI document lists no paths.
-    #[error("OpenAPI has no paths")]
+    #[error("the OpenAPI document has no paths")]
     MissingPaths,
     /// A schema can't be compiled.
-    #[error("{name}: {source}")]
+    #[error("{name}: invalid schema: {source}")]
     Schema {
-        /// The message or body that the schema describes.
+        /// Name of the message or the response that the schema describes.
         name: String,
-        /// The fault of the schema.
+        /// Why the schema can't be compiled.
         source: Box<jsonschema::ValidationError<'static>>,
     },
-    /// The two documents are not of one known kind.
-    #[error("two AsyncAPI or two OpenAPI documents are compared")]
+    /// The two documents are neither both AsyncAPI nor both OpenAPI.
+    #[error("only two AsyncAPI or two OpenAPI documents can be compared")]
     DifferentKinds,
 }
--- a/crates/api/src/page/tests.rs
+++ b/crates/api/src/page/tests.rs
@@ -1,13 +1,13 @@
-//! The page that shows both descriptions.
+//! The HTML page that renders both descriptions.
 use super::*;
 use serde_json::json;
 
 #[test]
-fn the_page_needs_nothing_else_and_shows_every_message_and_path() {
+fn the_page_loads_nothing_and_lists_every_message_and_path() {
     let (asyncapi, openapi) = (crate::parsed(crate::PRESENT), crate::parsed(crate::OPENAPI));
-    let page = html(&asyncapi, &openapi);
-    for outside in ["http://", "https://", "<script", "src=", "@import", "url("] {
-        assert!(!page.contains(outside), "{outside}");
+    let page = render_page(&asyncapi, &openapi);
+    for external in ["http://", "https://", "<script", "src=", "@import", "url("] {
+        assert!(!page.contains(external), "{external}");
     }
     for name in asyncapi["components"]["messages"]
         .as_object()
@@ -19,7 +19,7 @@
     for path in openapi["paths"].as_object().unwrap().keys() {
         assert!(page.contains(&format!("GET {path}</h3>")), "{path}");
     }
-    // Links lead somewhere.
+    // Each link has a target on the page.
     for link in page
         .split("href=\"#")
         .skip(1)
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn what_stands_in_a_description_is_text_and_no_markup() {
-    let strange = json!({"info": {"title": "<b>&\"", "version": "1", "description": ""}});
-    let page = html(&strange, &json!({}));
+fn markup_in_a_description_is_escaped() {
+    let with_markup = json!({"info": {"title": "<b>&\"", "version": "1", "description": ""}});
+    let page = render_page(&with_markup, &json!({}));
     assert!(page.contains("&lt;b&gt;&amp;&quot;") && !page.contains("<b>"));
 }
--- a/crates/api/tests/codec.rs
+++ b/crates/api/tests/codec.rs
@@ -1,5 +1,5 @@
-//! The front's codec accepts a call if and only if the published schemas allow it. The calls are generated from the schemas; most of
-//! them are then altered.
+//! The front's codec accepts a call if and only if the published schemas allow it. The test generates calls from the schemas,
+//! and alters most of them.
 use crankpaddle_api::conform::ConformanceChecker;
 use crankpaddle_session_api::jsonrpc::{self, Message};
 use crankpaddle_session_api::methods::Method;
@@ -7,7 +7,8 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Map, Value};
 
-const RUNS: u64 = 20_000;
+/// Number of calls that are tried with each document.
+const CALL_COUNT: u64 = 20_000;
 
 /// Whether the front's codec accepts a text as a call with an id.
 fn codec_accepts(text: &str) -> bool {
@@ -19,6 +20,7 @@
     }
 }
 
+/// The schema itself, or the one that it refers to.
 fn resolved<'v>(document: &'v Value, schema: &'v Value) -> &'v Value {
     let target = schema["$ref"]
         .as_str()
@@ -26,7 +28,7 @@
     target.map_or(schema, |target| resolved(document, target))
 }
 
-/// A random text within these lengths, which are more likely than the others.
+/// A random text with a length between these, of which the two bounds are most likely.
 fn random_text(rng: &mut StdRng, min_length: usize, max_length: usize) -> String {
     let length = if rng.random_bool(0.2) {
         [min_length, max_length][rng.random_range(0..2)]
@@ -88,7 +90,7 @@
     }
 }
 
-/// A value that replaces this one: null, or one that is similar.
+/// A replacement for a value: null or a similar value.
 fn altered_value(value: &Value, rng: &mut StdRng) -> Value {
     let similar = match value {
         Value::Number(number) => {
@@ -122,7 +124,7 @@
     }
 }
 
-/// Alters one value or member at a random place.
+/// Alters one value or one member of an object at a random place.
 fn alter(value: &mut Value, rng: &mut StdRng) {
     let Value::Object(fields) = value else {
         *value = altered_value(value, rng);
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn codec_and_descriptions_come_to_the_same_verdict_on_valid_and_nearly_valid_calls() {
+fn codec_and_schemas_accept_the_same_valid_and_altered_calls() {
     for document in [crankpaddle_api::PRESENT, crankpaddle_api::PREVIOUS] {
         let checker = ConformanceChecker::new(document, crankpaddle_api::OPENAPI).unwrap();
         let document = crankpaddle_api::parsed(document);
@@ -155,7 +157,7 @@
         println!("seed {seed}");
         let mut rng = StdRng::seed_from_u64(seed);
         let (mut accepted, mut rejected) = (0, 0);
-        for run in 0..RUNS {
+        for run in 0..CALL_COUNT {
             let mut call = random_value(&document, &calls[run as usize % 3], &mut rng);
             if run % 3 > 0 || rng.random_bool(0.5) {
                 for _ in 0..rng.random_range(0..3) {
@@ -163,19 +165,23 @@
                 }
             }
             let text = call.to_string();
-            // The schemas get the call as it is parsed: parsing may lose the last digits of a number.
+            // The schemas check the parsed call, because parsing may lose the last digits of a number.
             let parsed: Value = serde_json::from_str(&text).unwrap();
-            let codec = codec_accepts(&text);
-            let described = checker.allows_call(&parsed);
+            let by_codec = codec_accepts(&text);
+            let by_schemas = checker.allows_call(&parsed);
             assert_eq!(
-                codec, described,
-                "codec {codec}, description {described}: {text}"
+                by_codec, by_schemas,
+                "codec {by_codec}, schemas {by_schemas}: {text}"
             );
-            *(if codec { &mut accepted } else { &mut rejected }) += 1;
+            *(if by_codec {
+                &mut accepted
+            } else {
+                &mut rejected
+            }) += 1;
         }
         assert!(
-            accepted > RUNS / 5 && rejected > RUNS / 5,
-            "{accepted} accepted, {rejected} rejected: one side is hardly tried"
+            accepted > CALL_COUNT / 5 && rejected > CALL_COUNT / 5,
+            "too few of one kind: {accepted} accepted, {rejected} rejected"
         );
     }
 }
--- a/crates/cli/src/api.rs
+++ b/crates/cli/src/api.rs
@@ -9,16 +9,16 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The commands on the API's descriptions.
+/// The subcommands of `crankpaddle api`.
 #[derive(Subcommand)]
 pub(crate) enum ApiCommand {
-    /// Write the descriptions of this program: AsyncAPI of both versions, OpenAPI, and a page to read offline.
+    /// Write the descriptions of this program's API: AsyncAPI for both versions, OpenAPI, and an HTML page.
     Describe {
-        /// The folder.
+        /// The directory to write to; it is created if it does not exist.
         #[arg(default_value = "api")]
         into: PathBuf,
     },
-    /// Classify each change from one description to another; exits 1 if one is not compatible for old clients.
+    /// Print and classify the changes from one description to another. Exits 1 if old clients can't rely on the new one.
     #[command(
         after_help = "Example:\n  crankpaddle api diff api/session.v1.asyncapi.json api/session.v2.asyncapi.json"
     )]
@@ -30,32 +30,32 @@
     },
     /// Measure the cost of checking a call, compared with parsing it alone.
     Cost {
-        /// Rounds, alternating.
+        /// Number of rounds; each round measures every variant.
         #[arg(long, default_value_t = 11)]
         rounds: usize,
-        /// Calls in each round.
+        /// Number of calls per variant and round.
         #[arg(long, default_value_t = 100_000)]
         calls: u32,
     },
-    /// Check recorded traffic (JSON lines) against published descriptions, in both directions; exits 1 if they disagree.
+    /// Check recorded traffic (JSON lines) against published descriptions, in both directions. Exits 1 if they disagree.
     Check(CheckArgs),
 }
 
-/// Which recording is checked against which descriptions.
+/// The recording and the descriptions to compare.
 #[derive(Args)]
 pub(crate) struct CheckArgs {
-    /// The recording.
+    /// The recorded traffic.
     traffic: PathBuf,
-    /// The AsyncAPI document of the recorded version.
+    /// The AsyncAPI document of the version that was recorded.
     #[arg(long, default_value = "api/session.v2.asyncapi.json")]
     asyncapi: PathBuf,
     /// The OpenAPI document.
     #[arg(long, default_value = "api/openapi.json")]
     openapi: PathBuf,
-    /// Messages that need not occur, each with its reason.
+    /// A file of described items that need not occur in the recording, each with a reason.
     #[arg(long)]
     exceptions: Option<PathBuf>,
-    /// Only report messages that no description allows; a partial recording does not contain all.
+    /// Only report messages that no description allows, for a recording that doesn't contain every described item.
     #[arg(long)]
     part: bool,
 }
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 ///
-/// A file can't be read, parsed or written.
+/// A file can't be read, parsed or written, or the documents can't be compared.
 pub(crate) fn run(command: ApiCommand) -> Result<ExitCode, CommandFailure> {
     match command {
         ApiCommand::Describe { into } => write_descriptions(&into),
@@ -107,8 +107,8 @@
 
 fn keeps_old_clients(change: &diff::Change) -> bool {
     matches!(
-        change.class,
-        diff::Class::Compatible | diff::Class::ForOldClients
+        change.compatibility,
+        diff::Compatibility::Compatible | diff::Compatibility::ForOldClients
     )
 }
 
@@ -120,7 +120,7 @@
     let mut verdict = checker.report(&exceptions);
     if args.part {
         verdict.unseen.clear();
-        verdict.needless.clear();
+        verdict.needless_exceptions.clear();
     }
     println!("{verdict}");
     Ok(exit_code_of(verdict.agrees()))
