--- a/crates/config/src/check/budgets.rs
+++ b/crates/config/src/check/budgets.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 /// The traffic that a budget limits. `from` and `to` are zone indices, `None` if the zone is unknown. `class` is a class
-/// index, `None` if the budget applies to all classes that have no budget of their own.
+/// index, `None` if the class is unknown, or if the budget applies to all classes that have no budget of their own.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct BudgetScope {
     from: Option<usize>,
@@ -24,13 +24,13 @@
         zones: &Zones,
         classes: &[String],
     ) -> Vec<CrossZoneLimit> {
-        let mut first_uses = HashMap::new();
+        let mut index_by_scope = HashMap::new();
         let mut limits = Vec::new();
         for (index, budget) in budgets.iter().enumerate() {
             let scope = self.budget_scope(index, budget, zones, classes);
-            if let Some(first) = first_uses.insert(scope, index) {
+            if let Some(other) = index_by_scope.insert(scope, index) {
                 let message = format!(
-                    "has the same zones and class as budget[{first}]; allowed: one budget for each"
+                    "has the same zones and class as budget[{other}]; allowed: one budget for each"
                 );
                 self.wrong(&format!("budget[{index}].from"), message);
             }
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -57,8 +57,8 @@
     /// Returns the maximum number of streams on a server of each kind.
     fn stream_capacity(&mut self, kinds: &[schema::Kind]) -> Vec<u32> {
         let mut capacities = Vec::with_capacity(kinds.len());
-        for (i, kind) in kinds.iter().enumerate() {
-            let path = format!("fleet.kind[{i}].places");
+        for (index, kind) in kinds.iter().enumerate() {
+            let path = format!("fleet.kind[{index}].places");
             capacities.push(self.count(&path, kind.places, 1, MAX_STREAMS_PER_SERVER));
         }
         capacities
--- a/crates/config/src/check/ladder.rs
+++ b/crates/config/src/check/ladder.rs
@@ -31,9 +31,9 @@
         );
         let mut rung_kb = Vec::new();
         let mut rung_utility = Vec::new();
-        for (i, rung) in ladder.rung.iter().enumerate() {
-            let rate_path = format!("ladder.rung[{i}].rate");
-            let utility_path = format!("ladder.rung[{i}].worth");
+        for (index, rung) in ladder.rung.iter().enumerate() {
+            let rate_path = format!("ladder.rung[{index}].rate");
+            let utility_path = format!("ladder.rung[{index}].worth");
             let rate = self.rate(&rate_path, &rung.rate);
             let utility = self.within(&utility_path, rung.worth, MIN_UTILITY, 1.0);
             self.must(
--- a/crates/config/src/check/limits.rs
+++ b/crates/config/src/check/limits.rs
@@ -48,10 +48,10 @@
 
     /// Checks that the margin is at most half of each class's maximum wait.
     fn check_answer_margin(&mut self, answer_margin: Duration, max_wait: &[Duration]) {
-        for (i, max_wait) in max_wait.iter().enumerate() {
+        for (index, max_wait) in max_wait.iter().enumerate() {
             self.must(
                 answer_margin <= *max_wait / 2,
-                &format!("class[{i}].give_up"),
+                &format!("class[{index}].give_up"),
                 "is under twice limits.answer_margin: too little time is left to set a session up",
             );
         }
--- a/crates/config/src/check/peers.rs
+++ b/crates/config/src/check/peers.rs
@@ -47,8 +47,8 @@
 
     fn seeds(&mut self, peers: &schema::Peers) -> Vec<SocketAddr> {
         let mut seeds = Vec::with_capacity(peers.seed.len());
-        for (i, seed) in peers.seed.iter().enumerate() {
-            seeds.push(self.address(&format!("peers[0].seed[{i}]"), seed));
+        for (index, seed) in peers.seed.iter().enumerate() {
+            seeds.push(self.address(&format!("peers[0].seed[{index}]"), seed));
         }
         seeds
     }
@@ -58,8 +58,8 @@
         let names: Vec<&str> = peers.way.iter().map(|way| way.name.as_str()).collect();
         self.names("peers[0].way", ".name", &names);
         let mut addresses = HashMap::with_capacity(peers.way.len());
-        for (i, way) in peers.way.iter().enumerate() {
-            let address = self.address(&format!("peers[0].way[{i}].address"), &way.address);
+        for (index, way) in peers.way.iter().enumerate() {
+            let address = self.address(&format!("peers[0].way[{index}].address"), &way.address);
             addresses.insert(way.name.clone(), address);
         }
         addresses
--- a/crates/config/src/check/tenants.rs
+++ b/crates/config/src/check/tenants.rs
@@ -14,8 +14,8 @@
         let names: Vec<&str> = tenants.iter().map(|tenant| tenant.name.as_str()).collect();
         let names = self.names("tenant", ".name", &names);
         let mut quotas = Vec::with_capacity(tenants.len());
-        for (i, tenant) in tenants.iter().enumerate() {
-            let path = format!("tenant[{i}].quota");
+        for (index, tenant) in tenants.iter().enumerate() {
+            let path = format!("tenant[{index}].quota");
             quotas.push(self.within(&path, tenant.quota, 0.001, 1e9));
         }
         Tenants { names, quotas }
--- a/crates/config/src/check/titles.rs
+++ b/crates/config/src/check/titles.rs
@@ -17,18 +17,18 @@
         self.names("title", ".name", &names);
         let mut titles = HashMap::new();
         let mut groups = vec![String::new()]; // The group of titles without a group.
-        for (i, title) in raw.iter().enumerate() {
-            let path = |field: &str| format!("title[{i}].{field}");
+        for (index, title) in raw.iter().enumerate() {
+            let path = |field: &str| format!("title[{index}].{field}");
             let first_cell = self.count(&path("first_cell"), title.first_cell, 0, cells - 1);
             let copies = self.count(&path("copies"), title.copies, 1, cells);
             let group = group_index(&mut groups, &title.group);
             self.must(
                 group <= MAX_TITLE_GROUPS,
                 &path("group"),
-                "1000 groups are allowed at most",
+                "is the name of a further group; allowed: at most 1000 groups",
             );
             let checked = Title {
-                number: i as u64 + 1,
+                number: index as u64 + 1,
                 first_cell,
                 copies,
                 group: group as u16,
