--- a/crates/cli/tests/fleet_case.rs
+++ b/crates/cli/tests/fleet_case.rs
@@ -30,41 +30,41 @@
 
 const PASSING_CASE: &str = r#"
 name: "small"
-what: "deaths, a stop, one that is heard by none, a restart, a leave"
-step { see { claim: "all meet" at: "all" of: "all" state: ALIVE bound { within: "30s" } } }
+what: "a kill, a stop, a one-way cut, a restart and a shutdown"
+step { see { claim: "all fronts are alive" at: "all" of: "all" state: ALIVE bound { within: "30s" } } }
 step { mark {} }
 step { kill: "1" }
-step { see { claim: "a death is known" at: "!1" of: "1" state: GONE bound { within: "30s" } } }
+step { see { claim: "a killed front is declared failed" at: "!1" of: "1" state: GONE bound { within: "30s" } } }
 step { start: "1" }
-step { see { claim: "its new life is known" at: "all" of: "all" state: ALIVE bound { within: "30s" } } }
+step { see { claim: "a front that is started again is alive" at: "all" of: "all" state: ALIVE bound { within: "30s" } } }
 step { mark {} }
 step { net { loss: 0.1 doubled: 0.1 least: "1ms" most: "20ms" } }
 step { stop: "2" }
 step { run: "500ms" }
 step { go_on: "2" }
-step { see { claim: "one that stood still is back" at: "all" of: "all" state: ALIVE bound { within: "30s" } } }
+step { see { claim: "a stopped front is alive again" at: "all" of: "all" state: ALIVE bound { within: "30s" } } }
 step { net {} }
 step { cut { from: "3" to: "all" one_way: true } }
-step { see { claim: "one that is heard by none is given up" at: "!3" of: "3" state: GONE bound { within: "30s" } } }
-step { stands { claim: "it knows that it is cut off" at: "3" as: CUT_OFF bound { within: "20s" } } }
+step { see { claim: "a front whose datagrams are lost is declared failed" at: "!3" of: "3" state: GONE bound { within: "30s" } } }
+step { stands { claim: "it detects that it is cut off" at: "3" as: CUT_OFF bound { within: "20s" } } }
 step { heal {} }
 step { see { claim: "all views agree after healing" at: "all" of: "all" state: ALIVE bound { within: "30s" } } }
 step { mark {} }
 step { restart { fronts: "4" after: "50ms" } }
-step { news { claim: "its new life is news" at: "!4" of: "4" bound { within: "30s" } } }
+step { news { claim: "a restart is reported" at: "!4" of: "4" bound { within: "30s" } } }
 step { end: "0" }
-step { see { claim: "who leaves says so" at: "!0" of: "0" state: LEFT bound { within: "20s" } } }
+step { see { claim: "a front that shuts down leaves the fleet" at: "!0" of: "0" state: LEFT bound { within: "20s" } } }
 "#;
 
 const FAILING_CASE: &str = r#"
 name: "broken"
-what: "nothing, and much is claimed"
-step { see { claim: "all meet" at: "all" of: "all" state: ALIVE bound { within: "30s" } } }
-step { see { claim: "the first is gone" at: "!0" of: "0" state: GONE bound { within: "200ms" } } }
+what: "one kill, and claims that do not hold"
+step { see { claim: "all fronts are alive" at: "all" of: "all" state: ALIVE bound { within: "30s" } } }
+step { see { claim: "the first front is declared failed" at: "!0" of: "0" state: GONE bound { within: "200ms" } } }
 step { mark {} }
 step { kill: "1" }
-step { see { claim: "the second is gone" at: "!1" of: "1" state: GONE bound { within: "30s" } } }
-step { accused { claim: "nobody is accused" by: "all" } }
+step { see { claim: "the second front is declared failed" at: "!1" of: "1" state: GONE bound { within: "30s" } } }
+step { accused { claim: "no front is declared failed" by: "all" } }
 "#;
 
 fn play(name: &str, script: &str, fronts: u32) -> PlayedCase {
@@ -115,7 +115,10 @@
     let PlayedCase { stdout, stderr, .. } = &played;
     assert_eq!(played.status, Some(1), "{stdout}{stderr}");
     assert!(stdout.contains("claims kept 2/4"), "{stdout}{stderr}");
-    for claim in ["the first is gone", "nobody is accused"] {
+    for claim in [
+        "the first front is declared failed",
+        "no front is declared failed",
+    ] {
         assert!(stderr.contains(&format!("BROKEN: {claim}")), "{stderr}");
     }
 }
