--- a/crates/config/src/check/tenants.rs
+++ b/crates/config/src/check/tenants.rs
@@ -1,10 +1,11 @@
-//! The sections `tenant`: the tenants that share the fleet, and their quotas.
+//! Checks the sections `tenant`: the tenants that share the fleet, and their quotas.
 use super::ConfigChecker;
 use crate::schema;
 
-/// The tenants in order; empty where one owner has all.
+/// The tenants, indexed by tenant number. Empty if the fleet is not shared among tenants.
 pub(super) struct Tenants {
     pub(super) names: Vec<String>,
+    /// Quota of each tenant in requests per second over all fronts.
     pub(super) quotas: Vec<f64>,
 }
 
@@ -13,8 +14,8 @@
         let names: Vec<&str> = tenants.iter().map(|tenant| tenant.name.as_str()).collect();
         let names = self.names("tenant", ".name", &names);
         let mut quotas = Vec::with_capacity(tenants.len());
-        for (i, tenant) in tenants.iter().enumerate() {
-            let path = format!("tenant[{i}].quota");
+        for (index, tenant) in tenants.iter().enumerate() {
+            let path = format!("tenant[{index}].quota");
             quotas.push(self.within(&path, tenant.quota, 0.001, 1e9));
         }
         Tenants { names, quotas }
