--- a/crates/fault-simulation/src/runner/checks.rs
+++ b/crates/fault-simulation/src/runner/checks.rs
@@ -23,12 +23,7 @@
     measured_since: Time,
     cluster: &mut C,
 ) -> ClaimResult {
-    let mut check = ClaimCheck {
-        name,
-        measured_since,
-        fleet_size: cluster.fronts(),
-        cluster,
-    };
+    let mut check = ClaimCheck::new(name, measured_since, cluster);
     match claim {
         Claim::MembersSeenAs {
             viewers,
@@ -77,7 +72,16 @@
     cluster: &'a mut C,
 }
 
-impl<C: Cluster + ?Sized> ClaimCheck<'_, C> {
+impl<'a, C: Cluster + ?Sized> ClaimCheck<'a, C> {
+    fn new(name: &'a str, measured_since: Time, cluster: &'a mut C) -> ClaimCheck<'a, C> {
+        ClaimCheck {
+            name,
+            measured_since,
+            fleet_size: cluster.fronts(),
+            cluster,
+        }
+    }
+
     fn members_seen_as(
         &mut self,
         viewers: &Fronts,
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -82,7 +82,7 @@
             }
             AttemptOutcome::Rejected => {
                 let min_fill = self.settings.server_rejection_threshold.min(1.0);
-                server.link.raise_to(min_fill);
+                server.link.increase_to(min_fill);
             }
             _ => {}
         }
--- a/crates/policy/src/load.rs
+++ b/crates/policy/src/load.rs
@@ -73,7 +73,7 @@
         let Some(server) = self.servers.get_mut(&id) else { return };
         for &(field, value) in report {
             match field {
-                LoadField::LinkUtilization if value >= SATURATED_UTILIZATION => server.link.raise_to(1.0),
+                LoadField::LinkUtilization if value >= SATURATED_UTILIZATION => server.link.increase_to(1.0),
                 LoadField::LinkDemand | LoadField::LinkUtilization => {
                     server.record_link_fill(now, value, REPORT_AGE_NS);
                 }
@@ -182,7 +182,7 @@
         }
         let unmeasured = server.link.measured_at.is_none_or(|measured_at| measured_at <= since);
         if unmeasured || server.link.fill * ratio > LINK_LIMITED_FILL {
-            server.link.raise_to(1.0 / ratio.max(MIN_DELIVERY));
+            server.link.increase_to(1.0 / ratio.max(MIN_DELIVERY));
         } else if ratio < FAULTY_DELIVERY {
             // A server that hangs or delivers too little for a cause of its own still accepts set-ups.
             server.record_failure(now);
--- a/crates/policy/src/outliers.rs
+++ b/crates/policy/src/outliers.rs
@@ -18,9 +18,9 @@
             return;
         }
         let recovered = now.since(self.last_ejected_at) > 2 * MAX_EJECTION_NS;
-        let doubled = if recovered { 0 } else { self.ejection_duration * 2 };
+        let next_duration = if recovered { 0 } else { self.ejection_duration * 2 };
         self.last_ejected_at = now;
-        self.ejection_duration = doubled.clamp(MIN_EJECTION_NS, MAX_EJECTION_NS);
+        self.ejection_duration = next_duration.clamp(MIN_EJECTION_NS, MAX_EJECTION_NS);
         self.ejected_until = now.plus(self.ejection_duration);
     }
 
--- a/crates/policy/src/state/fleet.rs
+++ b/crates/policy/src/state/fleet.rs
@@ -36,8 +36,8 @@
 }
 
 impl LoadEstimate {
-    /// Raises the estimate to `fill` if it is lower.
-    pub(crate) fn raise_to(&mut self, fill: f64) {
+    /// Sets the estimate to `fill` if it is lower than that.
+    pub(crate) fn increase_to(&mut self, fill: f64) {
         self.fill = self.fill.max(fill);
     }
 }
