--- a/crates/cross-zone-traffic/src/budget.rs
+++ b/crates/cross-zone-traffic/src/budget.rs
@@ -41,7 +41,7 @@
 pub struct FrontPosition {
     /// Index of this front, from 0.
     pub index: u32,
-    /// Number of fronts.
+    /// Configured number of fronts, which share each budget; 0 counts as 1.
     pub replica_count: u32,
 }
 
--- a/crates/cross-zone-traffic/src/cross_zone_admission/types.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/types.rs
@@ -30,7 +30,7 @@
     pub session_id: u64,
     /// Zone of the server.
     pub from: u8,
-    /// Class number.
+    /// Number of the class, an index into the configured classes.
     pub class: u8,
     /// Rate at the rung where it starts, in kB per second.
     pub rate_kb: f64,
@@ -45,9 +45,9 @@
 pub struct PolicyChange {
     /// The zone of the servers.
     pub zone: u8,
-    /// Class number.
+    /// Number of the class, an index into the configured classes.
     pub class: u8,
-    /// The new policy.
+    /// The policy that applies from now on.
     pub policy: CrossZonePolicy,
 }
 
--- a/crates/cross-zone-traffic/src/report/names.rs
+++ b/crates/cross-zone-traffic/src/report/names.rs
@@ -7,9 +7,9 @@
 /// The configured names, each list indexed by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TrafficNames {
-    /// Names of zones.
+    /// Names of the zones to which servers and viewers belong.
     pub zones: Vec<String>,
-    /// Names of classes.
+    /// Names of the sessions' classes.
     pub classes: Vec<String>,
     /// Names of tenants; empty if no tenants are configured.
     pub tenants: Vec<String>,
--- a/crates/cross-zone-traffic/src/traffic_controller/attempts.rs
+++ b/crates/cross-zone-traffic/src/traffic_controller/attempts.rs
@@ -17,9 +17,9 @@
     pub number: u8,
     /// Id of the server.
     pub server: u32,
-    /// Class number.
+    /// Number of the class, an index into the configured classes.
     pub class: u8,
-    /// Tenant number.
+    /// Number of the tenant, an index into the configured tenants; 0 if none are configured.
     pub tenant: u16,
     /// Number of the title group.
     pub group: u16,
--- a/crates/cross-zone-traffic/src/usage_accounting/flow.rs
+++ b/crates/cross-zone-traffic/src/usage_accounting/flow.rs
@@ -22,9 +22,9 @@
     pub from: u8,
     /// Zone of the viewer, which is also that of the front.
     pub to: u8,
-    /// Class number.
+    /// Number of the class, an index into the configured classes.
     pub class: u8,
-    /// Tenant number.
+    /// Number of the tenant, an index into the configured tenants; 0 if none are configured.
     pub tenant: u16,
     /// Number of the title group; 0 for titles without a group.
     pub group: u16,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -67,7 +67,7 @@
 /// The threads that may still write to disk after the event loop has ended.
 type WriterThreads = Vec<JoinHandle<()>>;
 
-/// A running front.
+/// A running front. It serves players until [`Daemon::drain`] is called.
 pub struct Daemon {
     address: SocketAddr,
     shared: Arc<Shared>,
--- a/crates/daemon/src/websocket_handshake.rs
+++ b/crates/daemon/src/websocket_handshake.rs
@@ -12,7 +12,7 @@
 /// The base64 padding of 16 bytes.
 const KEY_PADDING: &str = "==";
 
-/// An accepted handshake.
+/// The version of the session API that a handshake selected, with the response that accepts it.
 pub(crate) struct AcceptedHandshake {
     pub version: Version,
     /// The bytes of the response.
--- a/crates/fault-simulation/src/scenario.rs
+++ b/crates/fault-simulation/src/scenario.rs
@@ -25,7 +25,7 @@
     Run(Duration),
     /// Starts a new measurement: accusations, restarts and recovered sessions count from this time on (`mark`).
     BeginMeasurement,
-    /// Checks a claim.
+    /// Checks a claim, and waits for it to hold within its time limit.
     Claim {
         /// The text by which the result is reported.
         name: String,
--- a/crates/fault-simulation/src/scenario/action.rs
+++ b/crates/fault-simulation/src/scenario/action.rs
@@ -43,7 +43,7 @@
         /// Whether datagrams in the opposite direction are dropped as well.
         both_ways: bool,
     },
-    /// Ends all partitions.
+    /// Ends all partitions; loss, delays and floods stay as they are.
     Heal,
     /// Sends several copies of each datagram of some fronts.
     Flood {
--- a/crates/fault-simulation/src/scenario/claim.rs
+++ b/crates/fault-simulation/src/scenario/claim.rs
@@ -30,7 +30,7 @@
         viewers: Fronts,
         /// Fronts whose state in these views is checked; a front's view of itself does not count.
         viewed: Fronts,
-        /// The expected state.
+        /// The state in which each viewer must see each viewed front.
         state: MemberState,
         /// Time limit, from the check on.
         bound: TimeBound,
@@ -50,7 +50,7 @@
     LocalHealth {
         /// Fronts whose own health is checked.
         fronts: Fronts,
-        /// The expected health.
+        /// The health that each of the fronts must estimate for itself.
         health: LocalHealth,
         /// Time limit, from the check on.
         bound: TimeBound,
--- a/crates/front/src/core/request.rs
+++ b/crates/front/src/core/request.rs
@@ -40,7 +40,7 @@
     /// The request has no answer yet. It is without an attempt only until the policy decides on it, when it is new or
     /// its last attempt has ended.
     Waiting(Option<OutstandingAttempt>),
-    /// The session plays.
+    /// The session is established at the server of this attempt and has not ended.
     Playing(OutstandingAttempt),
     /// The request or its session has ended.
     Ended(RequestOutcome),
--- a/crates/front/src/input.rs
+++ b/crates/front/src/input.rs
@@ -72,7 +72,7 @@
     Open {
         /// The call to answer.
         call: Call,
-        /// The request.
+        /// What the player requests: its key, class, tenant, title and limits.
         open: OpenRequest,
         /// When the message was read off the socket.
         received: Time,
@@ -90,7 +90,7 @@
     Close {
         /// The call to answer.
         call: Call,
-        /// The session.
+        /// The request that the session was established for.
         session: RequestId,
     },
     /// A session that was established before this front started plays at a server, and no call waits for an answer.
@@ -122,7 +122,7 @@
     CrossZonePolicyChanged {
         /// The zone of the servers.
         zone: u8,
-        /// The class.
+        /// Class, an index into the settings' classes.
         class: u8,
         /// The policy that applies from now on.
         policy: CrossZonePolicy,
@@ -145,14 +145,14 @@
     KeyUnresolved {
         /// The tenant of the key.
         tenant: u16,
-        /// The key.
+        /// The key of the request, as in [`OpenRequest::key`].
         key: String,
     },
     /// The outcome of a paid key of a previous incarnation is known.
     KeyResolved {
         /// The tenant of the key.
         tenant: u16,
-        /// The key.
+        /// The key of the request, as in [`OpenRequest::key`].
         key: String,
         /// The class of the request.
         class: u8,
--- a/crates/front/src/jitter.rs
+++ b/crates/front/src/jitter.rs
@@ -1,4 +1,4 @@
-//! Reproducible pseudo-random numbers.
+//! Pseudo-random numbers that depend only on a seed, so that runs can be reproduced.
 
 /// A number from 0 (inclusive) to 1 (exclusive) that depends only on `seed`, computed by one step of SplitMix64. It
 /// spreads the Retry-After of players that are rejected together, and serves as a source of pseudo-random numbers that
--- a/crates/front/src/keys.rs
+++ b/crates/front/src/keys.rs
@@ -24,7 +24,7 @@
 pub(crate) enum KeyState {
     /// The request has no answer yet.
     Waiting,
-    /// The session plays.
+    /// The session is established and has not ended.
     Playing,
     /// The request or its session has ended.
     Ended(RequestOutcome),
--- a/crates/front/src/output.rs
+++ b/crates/front/src/output.rs
@@ -39,13 +39,13 @@
 /// The one answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The session plays.
+    /// The session is established at a server.
     Established {
-        /// The session.
+        /// The request that the session was established for.
         session: RequestId,
         /// Its attempt, which identifies the session at the server.
         attempt: AttemptId,
-        /// The server.
+        /// The server where the session plays.
         server: ServerId,
         /// The rung in force.
         rung: u8,
@@ -121,13 +121,13 @@
     /// Send one attempt to a server. The driver reports the result by
     /// [`Input::SetUpCompleted`](crate::Input::SetUpCompleted) unless the attempt is abandoned first.
     StartSetUp {
-        /// The attempt.
+        /// The id under which the driver reports the result.
         attempt: AttemptId,
         /// The request that the attempt belongs to.
         request: RequestId,
         /// Number of the attempt within its request, from 0.
         number: u8,
-        /// The server.
+        /// The server to which the attempt is sent.
         server: ServerId,
         /// What to set up.
         order: SetUpOrder,
--- a/crates/front/src/recovery_queue.rs
+++ b/crates/front/src/recovery_queue.rs
@@ -14,7 +14,7 @@
     pub received_at: Time,
 }
 
-/// A queued request.
+/// A request that waits, at most until its deadline, for the core to decide on it.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedOpen {
     pub received_open: ReceivedOpen,
@@ -43,7 +43,7 @@
             .count()
     }
 
-    /// Empties the queue.
+    /// Removes and returns all queued requests, oldest first.
     pub(crate) fn take_all(&mut self) -> VecDeque<QueuedOpen> {
         std::mem::take(&mut self.0)
     }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -105,18 +105,18 @@
     pub target: String,
     /// The minor version of HTTP/1: 0 or 1.
     pub minor: u8,
-    /// The header fields.
+    /// The header fields, in the order received.
     pub fields: Fields,
 }
 
 /// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// The status code, such as 200.
     pub status: u16,
     /// The minor version of HTTP/1: 0 or 1.
     pub minor: u8,
-    /// The header fields.
+    /// The header fields, in the order received.
     pub fields: Fields,
 }
 
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,7 +1,7 @@
 //! Server-sent events as specified by the HTML standard: an incremental decoder of streams, and an encoder of single events.
 use crate::HttpError;
 
-/// A server-sent event.
+/// One event of a stream, as decoded or as it is to be encoded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
     /// The event's type; empty stands for `message`.
@@ -28,7 +28,7 @@
     /// Whether the last byte was a carriage return; a newline that follows belongs to the same line break.
     after_carriage_return: bool,
     /// Whether the first line was handled; only that line may start with a byte order mark.
-    is_past_first_line: bool,
+    has_handled_first_line: bool,
     /// The current event so far; its data has a newline after each line.
     event: Event,
     /// Bytes of the current event so far, without comments and line breaks.
@@ -88,10 +88,10 @@
     }
 
     fn strip_byte_order_mark<'a>(&mut self, line: &'a str) -> &'a str {
-        if self.is_past_first_line {
+        if self.has_handled_first_line {
             return line;
         }
-        self.is_past_first_line = true;
+        self.has_handled_first_line = true;
         line.strip_prefix(BYTE_ORDER_MARK).unwrap_or(line)
     }
 
--- a/crates/membership/src/membership/output.rs
+++ b/crates/membership/src/membership/output.rs
@@ -7,7 +7,7 @@
 /// An action for the caller to carry out, or a change to report. Outputs must be handled in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a datagram.
+    /// Send `bytes` to `address` as one datagram.
     Send {
         /// The receiver's name; empty if it is not known yet, as for a seed.
         name: String,
@@ -28,7 +28,7 @@
 pub struct MemberChange {
     /// The name of the member that changed.
     pub name: String,
-    /// Its new state.
+    /// The state after the change; it can be the same as before if only the incarnation changed.
     pub state: MemberState,
     /// The name of the member that detected the change; this member's own name if it did so itself.
     pub reported_by: String,
--- a/crates/membership/src/token_bucket.rs
+++ b/crates/membership/src/token_bucket.rs
@@ -15,7 +15,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// A bucket that starts full, with the tokens of one second.
     pub(crate) fn new(tokens_per_second: f64, now: Time) -> TokenBucket {
         TokenBucket {
             tokens_per_second,
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -17,7 +17,7 @@
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The first bytes of every datagram.
 const MAGIC: [u8; 2] = *b"cp";
-/// The protocol version.
+/// The version of the datagram format. Datagrams of any other version are rejected.
 const VERSION: u8 = 1;
 /// The offset of the checksum, which follows the magic bytes and the version.
 const CHECKSUM_OFFSET: usize = MAGIC.len() + 1;
@@ -93,7 +93,7 @@
     },
 }
 
-/// A decoded datagram.
+/// The content of a datagram that passed the checks of its length, version and checksum.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Datagram {
     pub header: Header,
--- a/crates/net/src/write_buffer.rs
+++ b/crates/net/src/write_buffer.rs
@@ -20,7 +20,7 @@
 /// Why bytes could neither be sent nor buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PushError {
-    /// The connection failed.
+    /// Writing to the socket failed; the connection ends with [`CloseReason::WriteFailed`].
     Failed,
     /// The buffer would exceed its bound.
     Full,
--- a/crates/node-protocol/src/config.rs
+++ b/crates/node-protocol/src/config.rs
@@ -31,7 +31,7 @@
 pub struct Limits {
     /// CPU cores; may be a fraction, such as 0.5 for half a core.
     pub cores: f64,
-    /// Memory in MB.
+    /// Memory in MB. It bounds the number of pending set-ups and of queued log lines.
     pub memory_mb: u64,
     /// The number of file descriptors that may be open at the same time.
     pub sockets: usize,
@@ -123,7 +123,7 @@
         "listen: the address differs from the one in use; restore it, or restart the node to change it"
     )]
     Listen,
-    /// The settings differ.
+    /// The settings of the fleet differ; they are fixed while the node runs.
     #[error(
         "settings: they differ from those in use; restore them, or restart the node to change them"
     )]
--- a/crates/node-protocol/src/directory.rs
+++ b/crates/node-protocol/src/directory.rs
@@ -52,7 +52,7 @@
 pub struct List {
     /// The version of the list, which wraps around; see [`List::is_older_than`].
     pub serial: u32,
-    /// The listed servers.
+    /// All servers that are ready or draining. A server that is missing was removed.
     pub entries: Vec<Entry>,
 }
 
--- a/crates/node-protocol/src/rtsp/mod.rs
+++ b/crates/node-protocol/src/rtsp/mod.rs
@@ -115,7 +115,7 @@
 }
 
 impl<'a> Figure<'a> {
-    /// Parses `name:value`.
+    /// Parses `name:value`; `None` if there is no colon or the value is not a finite number.
     fn parse(text: &'a str) -> Option<Figure<'a>> {
         let (name, value) = text.split_once(':')?;
         Some(Figure {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -24,7 +24,7 @@
 pub(crate) enum LinkEnd {
     /// The server closed or reset it between two messages.
     ByServer(ReadEnd),
-    /// The connect failed.
+    /// No connection to the server could be established.
     ConnectFailed(ConnectFailure),
     /// This node closed it.
     ByNode(CloseReason),
--- a/crates/node/src/viewer_connection.rs
+++ b/crates/node/src/viewer_connection.rs
@@ -14,7 +14,7 @@
 /// Whether input that was not read, or was read and not handled, counts as pending work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UnreadInput {
-    /// Such input counts.
+    /// Such input counts, as do set-ups that were handled and answers that were not sent.
     Include,
     /// Only set-ups that were handled, and answers that were not sent, count.
     Ignore,
--- a/crates/policy/src/state/server.rs
+++ b/crates/policy/src/state/server.rs
@@ -84,7 +84,7 @@
 /// A period in which a server delivered less than the rate of its sessions.
 #[derive(Clone, Copy)]
 pub(crate) struct ShortDelivery {
-    /// When it began.
+    /// When the first report of it was received.
     pub(crate) since: Time,
     /// When it was last reported.
     pub(crate) reported_at: Time,
--- a/crates/recovery/src/stages.rs
+++ b/crates/recovery/src/stages.rs
@@ -46,7 +46,7 @@
 /// Why a stage was entered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StageEvidence {
-    /// The process started.
+    /// The process started; the evidence of the first stage.
     Started,
     /// The previous incarnation ended by a graceful shutdown.
     CleanShutdown,
@@ -78,7 +78,7 @@
 /// What to do with a request during recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryAdmission {
-    /// Serve it.
+    /// Serve it without delay.
     Serve,
     /// Queue it, since it can be decided soon.
     Queue,
@@ -137,7 +137,7 @@
         recovery
     }
 
-    /// The present stage.
+    /// The stage that was entered last.
     #[must_use]
     pub fn stage(&self) -> RecoveryStage {
         self.stage
--- a/crates/server-protocol/src/event_stream.rs
+++ b/crates/server-protocol/src/event_stream.rs
@@ -30,7 +30,7 @@
 /// An update on a session. A figure that the server does not report is `None`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SessionUpdateMessage {
-    /// The session's name.
+    /// The name that the front gave the session in its set-up request.
     pub session: String,
     /// The delivered rate divided by the wanted rate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -62,7 +62,7 @@
 /// Reports that a session has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionOver {
-    /// The session's name.
+    /// The name that the front gave the session in its set-up request.
     pub session: String,
     /// Whether the session played to its end; if false, it was reset.
     pub finished: bool,
@@ -111,21 +111,21 @@
     StreamStart(StreamStart),
     /// Updates on a session.
     SessionUpdates {
-        /// The session's name.
+        /// The name that the front gave the session in its set-up request.
         session: String,
         /// The updates, in the order in which they apply.
         updates: Vec<SessionUpdate>,
     },
     /// A session has ended.
     SessionOver {
-        /// The session's name.
+        /// The name that the front gave the session in its set-up request.
         session: String,
         /// How the session ended.
         outcome: AttemptOutcome,
         /// The total number of media bytes sent for the session, if the server counts them.
         sent_bytes: Option<u64>,
     },
-    /// Traffic counters.
+    /// The bytes sent for the front's sessions, and the rates to other zones.
     Traffic(TrafficCounts),
 }
 
--- a/crates/server-protocol/src/session_inventory.rs
+++ b/crates/server-protocol/src/session_inventory.rs
@@ -7,7 +7,7 @@
 /// A session that the server holds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct InventorySession {
-    /// The session's name.
+    /// The name that the front gave the session in its set-up request.
     pub session: String,
     /// The billing key of the session.
     pub bill: String,
@@ -18,7 +18,7 @@
     pub class: String,
     /// The name of the title.
     pub title: String,
-    /// The current rung.
+    /// The rung at which the session plays now.
     pub rung: u8,
 }
 
--- a/crates/server-protocol/src/sessions.rs
+++ b/crates/server-protocol/src/sessions.rs
@@ -53,7 +53,7 @@
 /// The body of a request that changes the rung.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RungBody {
-    /// The new rung.
+    /// The rung that the server is to use from now on.
     pub rung: u8,
 }
 
--- a/crates/session-api/src/client.rs
+++ b/crates/session-api/src/client.rs
@@ -20,9 +20,9 @@
 pub enum ClientEvent {
     /// Answer to a call: the session is established.
     Plays {
-        /// The call's id.
+        /// The id of the call that this message answers.
         id: u64,
-        /// The session's name.
+        /// The name of the session, by which later calls and notifications refer to it.
         session: String,
         /// Where its media is fetched from.
         media: String,
@@ -31,63 +31,63 @@
     },
     /// Answer to a call: the session was closed.
     Closed {
-        /// The call's id.
+        /// The id of the call that this message answers.
         id: u64,
     },
     /// Answer to a call: the request was rejected and had no effect.
     Refused {
-        /// The call's id.
+        /// The id of the call that this message answers.
         id: u64,
         /// The reason as on the wire.
         reason: String,
-        /// Retry-After in milliseconds.
+        /// How long to wait before the next request, in milliseconds; `None` if the front gives no advice.
         retry_after_ms: Option<u64>,
     },
     /// Answer to a call: the request failed and may have had an effect.
     Failed {
-        /// The call's id.
+        /// The id of the call that this message answers.
         id: u64,
         /// The reason as on the wire.
         reason: String,
     },
     /// Answer to a call: another connection resumed the session.
     Superseded {
-        /// The call's id.
+        /// The id of the call that this message answers.
         id: u64,
     },
     /// Answer to a call: there is no such session, or it belongs to another connection.
     Unknown {
-        /// The call's id.
+        /// The id of the call that this message answers.
         id: u64,
     },
     /// Answer to a call: an error with any other code.
     Error {
         /// The call's id; `None` if the front could not determine it.
         id: Option<u64>,
-        /// The error code.
+        /// The JSON-RPC error code.
         code: i64,
-        /// The error message.
+        /// The text of the JSON-RPC error, for people.
         message: String,
     },
     /// Notification: the rung of a session changes.
     Rung {
-        /// The session's name.
+        /// The name of the session, as in the answer that established it.
         session: String,
         /// The rung in force from now on.
         rung: u8,
     },
     /// Notification: the session has ended.
     End {
-        /// The session's name.
+        /// The name of the session, as in the answer that established it.
         session: String,
         /// The reason as on the wire.
         reason: String,
-        /// Retry-After in milliseconds.
+        /// How long to wait before the next request, in milliseconds; `None` if the front gives no advice.
         retry_after_ms: Option<u64>,
     },
     /// Notification: the session migrates; open it again with the same key.
     Move {
-        /// The session's name.
+        /// The name of the session, as in the answer that established it.
         session: String,
     },
 }
--- a/crates/session-api/src/jsonrpc.rs
+++ b/crates/session-api/src/jsonrpc.rs
@@ -62,10 +62,10 @@
 /// One member of a text: a valid call, or the id and the error of the answer to an invalid one.
 pub type Member = Result<Call, (Id, Error)>;
 
-/// A parsed text.
+/// The content of one text: a single call or a batch. Calls in it may be invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A single call.
+    /// A call outside a batch, or the error to answer it with.
     One(Member),
     /// A batch of at least one member. Its answers are sent together.
     Batch(Vec<Member>),
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -6,7 +6,7 @@
 //! [`Settings`](crankpaddle::Settings), [`Class`](crankpaddle::Class) and [`Fleet`](super::Fleet).
 use serde::Deserialize;
 
-/// The whole document.
+/// The top level of the settings document; its sections have types of their own.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Facts {
@@ -62,7 +62,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Semantics {
-    /// At any time.
+    /// At any time and at any server.
     Free,
     /// Within the retry scope and window of the class.
     Guarded,
@@ -187,7 +187,7 @@
     pub(crate) migration: f64,
 }
 
-/// A tenant.
+/// A tenant, with its quota of requests per second over all replicas.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Party {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -14,7 +14,7 @@
         field: &'static str,
         /// Number of entries in the list.
         entries: usize,
-        /// Number of classes.
+        /// Number of classes in the document, which is the least number of entries.
         classes: usize,
     },
     /// There are no rungs, or the numbers of their rates and utilities differ.
--- a/crates/simhost/src/wire/error.rs
+++ b/crates/simhost/src/wire/error.rs
@@ -20,7 +20,7 @@
     Read {
         /// Name of the part that was being read.
         part: &'static str,
-        /// The underlying error.
+        /// The error of the input stream.
         source: io::Error,
     },
     /// A batch states a length that cannot hold the number of records, or that exceeds the maximum.
@@ -46,7 +46,7 @@
     ReadRecords {
         /// Number of the batch.
         batch: u32,
-        /// The underlying error.
+        /// The error of the input stream.
         source: io::Error,
     },
     /// The input ended within the records of a batch.
@@ -68,7 +68,7 @@
         index: usize,
         /// Code of the record.
         code: u8,
-        /// The underlying error.
+        /// Why the record is invalid.
         source: RecordError,
     },
 }
@@ -99,7 +99,7 @@
     OutsideTail {
         /// Offset of the items in the tail, bytes.
         offset: usize,
-        /// Number of items.
+        /// Number of items that the record refers to.
         count: usize,
         /// Length of the tail, bytes.
         tail: usize,
@@ -107,7 +107,7 @@
     /// The value of a field for a count or rung is not in the range of such fields.
     #[error("{value} at byte {offset} is not a count below 65536")]
     NotSmallInteger {
-        /// The value.
+        /// The value that was read: negative, not finite or too large.
         value: f32,
         /// Offset of the field in the record, bytes.
         offset: usize,
--- a/crates/simhost/src/wire/mod.rs
+++ b/crates/simhost/src/wire/mod.rs
@@ -47,7 +47,7 @@
         /// Its settings as a JSON document.
         settings: &'a [u8],
     },
-    /// Ends an instance.
+    /// Ends an instance that [`Record::Spawn`] started.
     Stop {
         /// Number of the instance.
         instance: u32,
@@ -56,7 +56,7 @@
     Directory {
         /// Number of the list.
         list: u8,
-        /// The listed servers.
+        /// One entry for each server of the list.
         entries: Vec<Endpoint>,
     },
     /// Delivers an endpoint list to an instance.
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -13,7 +13,7 @@
         help("give each front a store.dir of its own; if a previous process of this front is still shutting down, start again once it has exited")
     )]
     Locked {
-        /// The store's folder.
+        /// The folder that the setting `store.dir` names.
         dir: PathBuf,
     },
     /// A later release wrote the folder.
@@ -23,7 +23,7 @@
         help("start the release that wrote it, or give this one an empty store.dir; nothing in the folder was changed")
     )]
     NewerVersion {
-        /// The store's folder.
+        /// The folder that the setting `store.dir` names.
         dir: PathBuf,
         /// The version that the folder's version file states.
         found: u32,
@@ -37,7 +37,7 @@
         help("check that the disk is present, has free space and can be written to; until then no paid session is set up, and free ones are served")
     )]
     Disk {
-        /// The store's folder.
+        /// The folder that the setting `store.dir` names.
         dir: PathBuf,
         /// The error of the operating system, or of the database on a disk that failed before.
         source: io::Error,
@@ -49,7 +49,7 @@
         help("the file was moved aside in the folder and a new one created; servers are queried for what they ran; keep the file if bills are disputed")
     )]
     Corrupted {
-        /// The store's folder.
+        /// The folder that the setting `store.dir` names.
         dir: PathBuf,
         /// What is wrong with the content.
         source: Corruption,
--- a/crates/store/src/open.rs
+++ b/crates/store/src/open.rs
@@ -54,7 +54,7 @@
 /// A corrupted database file that was moved aside, so that an operator can still examine it.
 #[derive(Debug)]
 pub struct QuarantinedFile {
-    /// Its new path.
+    /// The path to which the file was moved.
     pub path: PathBuf,
     /// Why the file was moved aside.
     pub reason: Error,
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -15,9 +15,9 @@
 
 /// The intents, encoded in postcard, by tenant and billing identifier.
 const INTENTS: TableDefinition<(&str, &str), &[u8]> = TableDefinition::new("intents");
-/// Numbers by name.
+/// Numbers on the front and its incarnations, by the keys below.
 const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("numbers");
-/// Texts by name.
+/// Texts on the last incarnation, by the keys below.
 const TEXTS: TableDefinition<&str, &str> = TableDefinition::new("words");
 
 /// In [`NUMBERS`]: the number of starts of the front.
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// The session plays.
+    /// The server set the session up, and it plays.
     Plays,
     /// Rejected for lack of capacity; the set-up never ran.
     Full,
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlayerReply {
-    /// The session plays.
+    /// The front answered that the session is established.
     Plays,
     /// Rejected; no set-up ran.
     Refused,
--- a/crates/testbed/src/scenario_runner/faults.rs
+++ b/crates/testbed/src/scenario_runner/faults.rs
@@ -25,7 +25,7 @@
         self.list.change(listing);
     }
 
-    /// Starts a fault.
+    /// Starts a fault at its servers or, depending on its kind, in the whole fleet, the endpoint list or some fronts.
     pub(super) fn begin(&self, fault: &ScheduledFault, fronts: &[FrontProcess]) {
         for &server in &fault.servers {
             self.begin_at_server(&fault.kind, server);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Ends a fault.
+    /// Ends a fault. A server that vanished, crashed or drained is restarted and listed as ready again.
     pub(super) fn end(&self, fault: &ScheduledFault, fronts: &[FrontProcess]) -> io::Result<()> {
         for &server in &fault.servers {
             self.end_at_server(&fault.kind, server)?;
--- a/crates/testbed/src/scenario_runner/front.rs
+++ b/crates/testbed/src/scenario_runner/front.rs
@@ -5,7 +5,7 @@
 use crate::stage::SimulatedBackend;
 use std::io;
 
-/// A front's process.
+/// The running process of one front of a scenario.
 pub(super) struct FrontProcess {
     pub(super) process: Process,
     /// Number of the front's zone.
--- a/crates/testbed/src/server/mod.rs
+++ b/crates/testbed/src/server/mod.rs
@@ -56,7 +56,7 @@
     sockets: Mutex<Vec<Weak<Socket>>>,
     /// Open event streams by the name of the front.
     pub(crate) event_streams: Mutex<HashMap<String, Arc<WriteBuffer>>>,
-    /// Sessions by name.
+    /// The sessions that the server holds, by the names that the fronts gave them.
     pub(crate) sessions: Mutex<BTreeMap<String, SimulatedSession>>,
     set_up_log: Mutex<SetUpLog>,
     /// When the process was restarted, nanoseconds; 0 where it was never restarted.
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Handles a request.
+    /// Carries out a request to the server's HTTP API, selected by its method and path.
     fn answer(
         self: &Arc<SimulatedServer>,
         fleet: &Arc<Fleet>,
--- a/crates/testbed/src/udp_proxy.rs
+++ b/crates/testbed/src/udp_proxy.rs
@@ -65,7 +65,7 @@
 /// A handle on the network between the fronts.
 #[derive(Clone)]
 pub struct PeerNetwork {
-    /// Number of fronts.
+    /// Number of fronts. The indexes of `addresses` depend on it.
     size: usize,
     /// Addresses of the sockets of the proxy, with the indexes of [`Sockets`].
     addresses: Vec<Option<SocketAddr>>,
--- a/crates/textproto/src/locate.rs
+++ b/crates/textproto/src/locate.rs
@@ -49,7 +49,7 @@
     repeat(0.., alt((space, comment))).parse_next(input)
 }
 
-/// A quoted string.
+/// A string in single or double quotes. A backslash escapes the next character; a plain newline is not allowed.
 fn quoted(input: &mut Input<'_>) -> Result<()> {
     let content = |quote: char| {
         let escaped = ('\\', any).void();
--- a/crates/time/src/atomic_time.rs
+++ b/crates/time/src/atomic_time.rs
@@ -13,12 +13,12 @@
         AtomicTime(AtomicU64::new(time.as_nanos()))
     }
 
-    /// The current value.
+    /// Reads the time with this memory ordering.
     pub fn load(&self, ordering: Ordering) -> Time {
         Time(self.0.load(ordering))
     }
 
-    /// Replaces the value.
+    /// Replaces the time, whether the new one is earlier or later.
     pub fn store(&self, time: Time, ordering: Ordering) {
         self.0.store(time.as_nanos(), ordering);
     }
