--- a/crates/api/src/cost.rs
+++ b/crates/api/src/cost.rs
@@ -26,7 +26,7 @@
     let value: serde_json::Value = serde_json::from_str(CALL)?;
     let parse = || drop(black_box(jsonrpc::read(black_box(CALL))));
     let parse_and_check = || {
-        if let Message::One(Ok(call)) = jsonrpc::read(black_box(CALL)) {
+        if let Message::Single(Ok(call)) = jsonrpc::read(black_box(CALL)) {
             let _ = black_box(Method::parse(&call.method, call.params)); // The result is not needed.
         }
     };
--- a/crates/api/src/describe/asyncapi.rs
+++ b/crates/api/src/describe/asyncapi.rs
@@ -1,7 +1,7 @@
 //! The AsyncAPI 3.0 documents of the session API.
 use super::messages::{messages, Message, MessageSender};
 use super::{document_version, generator, remove_later_additions, version_number};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use serde_json::{json, Map, Value};
 
 /// References to the messages of one sender, as an operation lists them.
@@ -14,7 +14,7 @@
 }
 
 /// Generates the AsyncAPI 3.0 document of a version.
-pub(super) fn asyncapi(version: Version) -> Value {
+pub(super) fn asyncapi(version: SessionApiVersion) -> Value {
     let mut schemas = generator();
     let messages = messages(&mut schemas);
     let mut components = Map::new();
--- a/crates/api/src/describe/mod.rs
+++ b/crates/api/src/describe/mod.rs
@@ -9,25 +9,25 @@
 pub use fleet::{Fleet, ReturnStep, ServiceStage, ShutdownKind, StepReason, StoreState};
 
 use asyncapi::asyncapi;
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use openapi::openapi;
 use schemars::generate::SchemaSettings;
 use schemars::{JsonSchema, SchemaGenerator};
 use serde_json::Value;
 
 /// The version number of a version's description. Its last part changes with each change of the texts.
-fn document_version(version: Version) -> &'static str {
+fn document_version(version: SessionApiVersion) -> &'static str {
     match version {
-        Version::V1 => "1.0.0",
-        Version::V2 => "2.0.0",
+        SessionApiVersion::V1 => "1.0.0",
+        SessionApiVersion::V2 => "2.0.0",
     }
 }
 
 /// The number of an API version, as `x-since` gives it.
-fn version_number(version: Version) -> u64 {
+fn version_number(version: SessionApiVersion) -> u64 {
     match version {
-        Version::V1 => 1,
-        Version::V2 => 2,
+        SessionApiVersion::V1 => 1,
+        SessionApiVersion::V2 => 2,
     }
 }
 
@@ -91,13 +91,13 @@
 
 /// Generates all published files. Returns their names and contents.
 pub fn files() -> Vec<(&'static str, String)> {
-    let (current, openapi) = (asyncapi(Version::V2), openapi());
+    let (current, openapi) = (asyncapi(SessionApiVersion::V2), openapi());
     let page = crate::page::render_page(&current, &openapi);
     vec![
         ("session.v2.asyncapi.json", document_text(&current)),
         (
             "session.v1.asyncapi.json",
-            document_text(&asyncapi(Version::V1)),
+            document_text(&asyncapi(SessionApiVersion::V1)),
         ),
         ("openapi.json", document_text(&openapi)),
         ("index.html", page),
--- a/crates/api/src/describe/openapi.rs
+++ b/crates/api/src/describe/openapi.rs
@@ -4,7 +4,7 @@
 use super::{document_version, generator, inline_schema, schema};
 use crankpaddle_cross_zone_traffic::report::TrafficReport;
 use crankpaddle_http::problem::Problem;
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use schemars::SchemaGenerator;
 use serde_json::{json, Map, Value};
 
@@ -129,7 +129,7 @@
         "openapi": "3.1.0",
         "info": {
             "title": "crankpaddle HTTP beside the session API",
-            "version": document_version(Version::V2),
+            "version": document_version(SessionApiVersion::V2),
             "description": "Errors are problem details (RFC 9457). Whatever is not described here is answered with 404, \
                 another method than GET with 405, a malformed request with 400, 413 or 431, each as a problem.",
         },
--- a/crates/api/src/describe/tests.rs
+++ b/crates/api/src/describe/tests.rs
@@ -50,7 +50,7 @@
     let released: [(&str, &str, Value); 1] = [(
         "session.v1",
         include_str!("../../../../api/released/session.v1.asyncapi.json"),
-        asyncapi(Version::V1),
+        asyncapi(SessionApiVersion::V1),
     )];
     for (name, text, generated) in released {
         let changes = diff(&crate::parsed(text), &generated).unwrap();
--- a/crates/api/tests/codec.rs
+++ b/crates/api/tests/codec.rs
@@ -13,7 +13,7 @@
 /// Whether the front's codec accepts a text as a call with an id.
 fn codec_accepts(text: &str) -> bool {
     match jsonrpc::read(text) {
-        Message::One(Ok(call)) => {
+        Message::Single(Ok(call)) => {
             call.id.is_some() && Method::parse(&call.method, call.params).is_ok()
         }
         _ => false,
--- a/crates/benchmark/src/relay.rs
+++ b/crates/benchmark/src/relay.rs
@@ -4,7 +4,7 @@
 use crankpaddle_net::exchange::{ExchangeError, HttpExchange};
 use crankpaddle_net::{accept_each, listen, Socket, WriteBuffer};
 use crankpaddle_server_protocol::sessions::{self, SetUpBody};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -119,7 +119,10 @@
             ("upgrade", "websocket"),
             ("connection", "Upgrade"),
             ("sec-websocket-accept", accepted.as_str()),
-            ("sec-websocket-protocol", Version::V2.subprotocol()),
+            (
+                "sec-websocket-protocol",
+                SessionApiVersion::V2.subprotocol(),
+            ),
         ];
         let outbox = WriteBuffer::new(socket, SEND_BUFFER_BYTES);
         outbox.push(&head::response(101, &fields, b""));
--- a/crates/daemon/src/event_loop/attempts.rs
+++ b/crates/daemon/src/event_loop/attempts.rs
@@ -80,7 +80,9 @@
 fn proven_result(result: &SetUpResult) -> AttemptResult {
     match result {
         SetUpResult::Started(_) => AttemptResult::Established,
-        SetUpResult::Ended(outcome, _) if keys::never_ran(*outcome) => AttemptResult::NeverRan,
+        SetUpResult::Ended(outcome, _) if keys::proves_never_ran(*outcome) => {
+            AttemptResult::NeverRan
+        }
         SetUpResult::Ended(..) => AttemptResult::Ended,
     }
 }
--- a/crates/daemon/src/event_loop/durable_setup.rs
+++ b/crates/daemon/src/event_loop/durable_setup.rs
@@ -136,7 +136,7 @@
             writes.push(StoreWrite::Uptime(uptime));
         }
         let fleet_size = self.core.replica_count();
-        let is_normal = self.core.stage() == RecoveryStage::Normal;
+        let is_normal = self.core.recovery_stage() == RecoveryStage::Normal;
         if is_normal && fleet_size != durable.stored_fleet_size {
             durable.stored_fleet_size = fleet_size;
             writes.push(StoreWrite::FleetSize(fleet_size));
@@ -146,7 +146,7 @@
 
     /// Retries the reconciliation with unreachable servers while recovery lasts or paid keys are unresolved.
     fn retry_unreachable_servers(&mut self) {
-        let is_recovering = self.core.stage() < RecoveryStage::Normal;
+        let is_recovering = self.core.recovery_stage() < RecoveryStage::Normal;
         let unresolved = self.reconcile(|state: &mut Reconciliation| state.unresolved_count());
         if !is_recovering && unresolved == 0 {
             return;
--- a/crates/daemon/src/event_loop/messages.rs
+++ b/crates/daemon/src/event_loop/messages.rs
@@ -47,10 +47,10 @@
 
     fn player_requested(&mut self, input: Input) {
         self.shared.request_dequeued();
-        if let Input::Open { open, .. } = &input {
+        if let Input::Open { request, .. } = &input {
             self.traffic
                 .controller
-                .session_requested(open.class, clock::now());
+                .session_requested(request.class, clock::now());
             self.apply_cross_zone_policy();
         }
         self.handle_core_input(input);
--- a/crates/daemon/src/event_loop/mod.rs
+++ b/crates/daemon/src/event_loop/mod.rs
@@ -172,8 +172,8 @@
             self.core.expire(clock::now(), &mut self.outputs);
             self.perform_outputs();
             self.shared.publish_work_in_progress(WorkInProgress {
-                waiting: self.core.waiting(),
-                playing: self.core.playing(),
+                waiting: self.core.waiting_requests(),
+                playing: self.core.playing_sessions(),
             });
         }
         self.finish()
--- a/crates/daemon/src/event_loop/outputs.rs
+++ b/crates/daemon/src/event_loop/outputs.rs
@@ -6,8 +6,8 @@
 use crate::server_link::ServerLink;
 use crankpaddle_cross_zone_traffic::traffic_controller::AttemptEnd;
 use crankpaddle_front::{
-    Answer, AttemptId, AttemptOutcome, Call, Notification, Output, PlayerId, RequestId, ServerId,
-    SetUpOrder, SetUpResult,
+    Answer, AttemptId, AttemptOutcome, Notification, Output, PlayerCall, PlayerId, RequestId,
+    ServerId, SetUpOrder, SetUpResult,
 };
 use crankpaddle_net::clock;
 use crankpaddle_server_protocol::sessions;
@@ -69,7 +69,7 @@
         }
     }
 
-    fn answer_call(&mut self, call: Call, answer: &Answer) {
+    fn answer_call(&mut self, call: PlayerCall, answer: &Answer) {
         log_answer(call, answer);
         let mut established = None;
         let mut media_url = String::new();
@@ -221,7 +221,7 @@
     }
 }
 
-fn log_answer(call: Call, answer: &Answer) {
+fn log_answer(call: PlayerCall, answer: &Answer) {
     let player_id = call.player.0;
     let call_id = call.number;
     match answer {
--- a/crates/daemon/src/event_loop/shutdown.rs
+++ b/crates/daemon/src/event_loop/shutdown.rs
@@ -43,8 +43,8 @@
             return;
         }
         tracing::info!(
-            waiting = self.core.waiting(),
-            playing = self.core.playing(),
+            waiting = self.core.waiting_requests(),
+            playing = self.core.playing_sessions(),
             "draining started"
         );
         self.shared.start_draining();
@@ -60,10 +60,10 @@
             return;
         };
         let now = clock::now();
-        if self.core.waiting() > 0 && now < deadline {
+        if self.core.waiting_requests() > 0 && now < deadline {
             return;
         }
-        tracing::info!(playing = self.core.playing(), "stopping sessions");
+        tracing::info!(playing = self.core.playing_sessions(), "stopping sessions");
         self.shutdown = ShutdownStage::Stopping {
             deadline: now + STOP_TIMEOUT,
         };
@@ -88,7 +88,7 @@
         while self.traffic.settle_step() {}
         self.save_traffic_report();
         tracing::info!("front stopped");
-        let is_clean = self.core.waiting() == 0 && self.core.playing() == 0;
+        let is_clean = self.core.waiting_requests() == 0 && self.core.playing_sessions() == 0;
         let store_thread = self.durable.and_then(|durable| durable.finish(is_clean));
         [
             self.list_writer.finish(),
--- a/crates/daemon/src/event_loop/status.rs
+++ b/crates/daemon/src/event_loop/status.rs
@@ -11,7 +11,7 @@
         let durable = self.durable.as_ref()?;
         let servers = durable.reconciliation.server_counts();
         Some(Fleet {
-            stage: self.core.stage().into(),
+            stage: self.core.recovery_stage().into(),
             steps: self.recovery_steps(),
             queued_requests: self.core.queued_for_recovery() as u64,
             unresolved_attempts: durable.reconciliation.unresolved_count() as u64,
@@ -27,7 +27,7 @@
 
     fn recovery_steps(&self) -> Vec<ReturnStep> {
         let now = clock::now();
-        let transitions = self.core.recovery().transitions().iter();
+        let transitions = self.core.staged_recovery().transitions().iter();
         let steps = transitions.map(|transition| ReturnStep {
             stage: transition.stage.into(),
             why: transition.evidence.into(),
--- a/crates/daemon/src/player.rs
+++ b/crates/daemon/src/player.rs
@@ -2,9 +2,9 @@
 //! send.
 use crankpaddle_front::{PlayerId, RequestId};
 use crankpaddle_net::{clock, CloseReason, Socket, WriteBuffer};
-use crankpaddle_session_api::calls::Calls;
+use crankpaddle_session_api::calls::PendingCalls;
 use crankpaddle_session_api::jsonrpc::Id;
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use crankpaddle_time::{AtomicTime, Time};
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -31,10 +31,10 @@
 /// because no other memory is published through them, and a check that sees an old time only sends a needless ping.
 pub(crate) struct PlayerConnection {
     pub id: PlayerId,
-    pub version: Version,
+    pub version: SessionApiVersion,
     /// Bytes to send. Both the event loop and the connection's own coroutine add to it.
     pub outbox: WriteBuffer,
-    calls: Mutex<Calls>,
+    calls: Mutex<PendingCalls>,
     last_received: AtomicTime,
     /// When the ping that was not answered yet was sent, or [`NOT_PINGED`].
     pinged_at: AtomicTime,
@@ -45,7 +45,7 @@
     /// sent.
     pub(crate) fn new(
         socket: Arc<Socket>,
-        version: Version,
+        version: SessionApiVersion,
         max_unread: usize,
     ) -> PlayerConnection {
         PlayerConnection {
@@ -83,7 +83,7 @@
     }
 
     /// Locks and returns the pending calls. The lock must not be held across a wait.
-    pub(crate) fn calls(&self) -> MutexGuard<'_, Calls> {
+    pub(crate) fn calls(&self) -> MutexGuard<'_, PendingCalls> {
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/daemon/src/player_calls.rs
+++ b/crates/daemon/src/player_calls.rs
@@ -3,7 +3,7 @@
 use crate::names;
 use crate::player::PlayerConnection;
 use crate::shared::Shared;
-use crankpaddle_front::{Call, Input, RequestId};
+use crankpaddle_front::{Input, PlayerCall, RequestId};
 use crankpaddle_net::clock;
 use crankpaddle_server_protocol::sessions;
 use crankpaddle_session_api::jsonrpc::{self, Error, Id, Member};
@@ -30,7 +30,7 @@
     /// Handles one text message: a call, or a batch of calls, whose answers are sent together.
     pub(crate) fn handle_text(&mut self, text: &str) {
         let (members, is_batch) = match jsonrpc::read(text) {
-            jsonrpc::Message::One(member) => (vec![member], false),
+            jsonrpc::Message::Single(member) => (vec![member], false),
             jsonrpc::Message::Batch(members) => (members, true),
         };
         let batch = is_batch.then_some(self.last_number + 1); // A batch is identified by its first call's number.
@@ -81,15 +81,15 @@
     /// Converts a method call to the core's input.
     fn input(&self, number: u64, method: Method) -> Result<Input, Error> {
         let config = &self.shared.config;
-        let call = Call {
+        let call = PlayerCall {
             player: self.player.id,
             number,
         };
         Ok(match method {
             Method::Open(open) => Input::Open {
                 call,
-                open: names::open_request(config, open)?,
-                received: clock::now(),
+                request: names::open_request(config, open)?,
+                received_at: clock::now(),
             },
             Method::Resume(resume) => Input::Resume {
                 call,
@@ -117,20 +117,20 @@
         let waits = inputs.iter().map(|input| self.wait_limit(input));
         let shortest = waits.min().unwrap_or(Duration::MAX);
         for input in inputs {
-            if let Input::Open { open, .. } = input {
-                open.max_wait = open.max_wait.min(shortest);
+            if let Input::Open { request, .. } = input {
+                request.max_wait = request.max_wait.min(shortest);
             }
         }
     }
 
     /// Longest time that a request may wait: the lower of the viewer's limit and the class's limit.
     fn wait_limit(&self, input: &Input) -> Duration {
-        let Input::Open { open, .. } = input else {
+        let Input::Open { request, .. } = input else {
             return Duration::MAX;
         };
         let class_limits = &self.shared.config.terms.max_wait;
-        let class_limit = class_limits.get(usize::from(open.class)).copied();
-        open.max_wait.min(class_limit.unwrap_or(Duration::MAX))
+        let class_limit = class_limits.get(usize::from(request.class)).copied();
+        request.max_wait.min(class_limit.unwrap_or(Duration::MAX))
     }
 }
 
--- a/crates/daemon/src/websocket_handshake.rs
+++ b/crates/daemon/src/websocket_handshake.rs
@@ -2,7 +2,7 @@
 use crate::http_responses::CLOSE;
 use crankpaddle_http::head::{self, Request};
 use crankpaddle_http::problem::Problem;
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use tungstenite::handshake;
 
 /// The only version of the WebSocket protocol that is supported, that of RFC 6455.
@@ -14,7 +14,7 @@
 
 /// The version of the session API that a handshake selected, with the response that accepts it.
 pub(crate) struct AcceptedHandshake {
-    pub version: Version,
+    pub version: SessionApiVersion,
     /// The bytes of the response.
     pub response: Vec<u8>,
 }
@@ -52,7 +52,7 @@
         fields.push(("sec-websocket-protocol", version.subprotocol()));
     }
     Ok(AcceptedHandshake {
-        version: subprotocol.unwrap_or(Version::V1),
+        version: subprotocol.unwrap_or(SessionApiVersion::V1),
         response: head::response(101, &fields, b""),
     })
 }
@@ -73,12 +73,14 @@
 ///
 /// # Errors
 /// The bytes of the response that rejects the handshake, if subprotocols are offered but none of them is served.
-fn subprotocol(request: &Request) -> Result<Option<Version>, Vec<u8>> {
+fn subprotocol(request: &Request) -> Result<Option<SessionApiVersion>, Vec<u8>> {
     let offers = request.fields.all("sec-websocket-protocol");
-    let chosen = Version::negotiate(offers.flat_map(|field| field.split(',')));
+    let chosen = SessionApiVersion::negotiate(offers.flat_map(|field| field.split(',')));
     let has_offers = request.fields.get("sec-websocket-protocol").is_some();
     if has_offers && chosen.is_none() {
-        let known = Version::SERVED.map(Version::subprotocol).join(", ");
+        let known = SessionApiVersion::SERVED
+            .map(SessionApiVersion::subprotocol)
+            .join(", ");
         let detail = format!("no known subprotocol is offered; known: {known}");
         return Err(rejection(400, &detail));
     }
--- a/crates/daemon/tests/described/budgets.rs
+++ b/crates/daemon/tests/described/budgets.rs
@@ -2,12 +2,12 @@
 use crate::start_harness;
 use crate::support::{wait_until, Harness, FREE, PAID};
 use crate::transcript::{reason, RecordedPlayer, Transcript};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use crankpaddle_testbed::list_service::{entry, EndpointState};
 use std::io::Write;
 use std::net::TcpStream;
 
-pub(crate) fn run(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: SessionApiVersion, transcript: &Transcript) {
     let budget = "budget { from: \"south\" to: \"north\" rate: \"1kB/s\" burst: \"1B\" repay: \"1s\" }\n\
         budget { from: \"south\" to: \"north\" class: \"licensed-view\" rate: \"0kB/s\" burst: \"1B\" }\nlog {";
     let harness = start_harness(&[("log {", budget)]);
@@ -15,8 +15,8 @@
     let mut player = RecordedPlayer::connect(address, version, transcript);
     remove_own_zone(&harness);
     let expected_reason = match version {
-        Version::V2 => "held_at_home",
-        Version::V1 => "no_room",
+        SessionApiVersion::V2 => "held_at_home",
+        SessionApiVersion::V1 => "no_room",
     };
     wait_until("previews to be rejected because of the budget", || {
         let key = format!("held-{:04}", player.calls);
--- a/crates/daemon/tests/described/failures.rs
+++ b/crates/daemon/tests/described/failures.rs
@@ -2,9 +2,9 @@
 use crate::start_harness;
 use crate::support::{wait_until, Harness, PAID};
 use crate::transcript::{open_params, reason, RecordedPlayer, Transcript};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 
-pub(crate) fn run(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: SessionApiVersion, transcript: &Transcript) {
     let harness = start_harness(&[(
         "open_requests_per_connection: 64",
         "open_requests_per_connection: 2",
--- a/crates/daemon/tests/described/http.rs
+++ b/crates/daemon/tests/described/http.rs
@@ -3,14 +3,14 @@
 use crate::support::{wait_until, Harness, FREE, PAID};
 use crate::transcript::{open_params, reason, RecordedPlayer, Transcript};
 use crankpaddle_membership::{Membership, MembershipConfig, Output};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use crankpaddle_time::Time;
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-pub(crate) fn run(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: SessionApiVersion, transcript: &Transcript) {
     let key = write_key(version);
     report_no_members(&key, transcript);
     let seed = start_member();
@@ -41,7 +41,7 @@
     });
 }
 
-fn write_key(version: Version) -> PathBuf {
+fn write_key(version: SessionApiVersion) -> PathBuf {
     let key = std::env::temp_dir().join(format!(
         "crankpaddle-described-{}-{version:?}",
         std::process::id()
@@ -151,7 +151,11 @@
     }
 }
 
-fn fill_connections_and_stop(version: Version, harness: &Harness, transcript: &Transcript) {
+fn fill_connections_and_stop(
+    version: SessionApiVersion,
+    harness: &Harness,
+    transcript: &Transcript,
+) {
     let address = harness.daemon.address();
     let connect = || RecordedPlayer::connect(address, version, transcript);
     let mut player = connect();
--- a/crates/daemon/tests/described/main.rs
+++ b/crates/daemon/tests/described/main.rs
@@ -18,7 +18,7 @@
 mod versions;
 
 use crankpaddle_api::conform::{ConformanceChecker, Exception, Exchange};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use support::{Backend, Harness};
 use transcript::Transcript;
 
@@ -39,15 +39,15 @@
 }
 
 /// The published description of a version of the session API.
-fn published(version: Version) -> &'static str {
+fn published(version: SessionApiVersion) -> &'static str {
     match version {
-        Version::V1 => crankpaddle_api::PREVIOUS,
-        Version::V2 => crankpaddle_api::PRESENT,
+        SessionApiVersion::V1 => crankpaddle_api::PREVIOUS,
+        SessionApiVersion::V2 => crankpaddle_api::PRESENT,
     }
 }
 
 /// Runs all scenarios with one version, concurrently. Together they exchange everything that is described.
-fn run_scenarios(version: Version) -> Transcript {
+fn run_scenarios(version: SessionApiVersion) -> Transcript {
     let transcript = Transcript::default();
     let scenarios = [
         sessions::run,
@@ -67,7 +67,7 @@
 }
 
 fn check<'a>(
-    version: Version,
+    version: SessionApiVersion,
     exchanges: impl IntoIterator<Item = &'a Exchange>,
 ) -> ConformanceChecker {
     let mut checker =
@@ -81,7 +81,7 @@
 #[test]
 fn exchanged_messages_and_published_descriptions_agree_in_both_directions() {
     let exceptions: Vec<Exception> = serde_json::from_str(crankpaddle_api::EXCEPTIONS).unwrap();
-    let versions = [Version::V2, Version::V1];
+    let versions = [SessionApiVersion::V2, SessionApiVersion::V1];
     let runs =
         versions.map(|version| (version, std::thread::spawn(move || run_scenarios(version))));
     for (version, run) in runs {
@@ -89,7 +89,7 @@
         let verdict = check(version, &exchanges).report(&exceptions);
         println!("{version:?}: {verdict}");
         assert!(verdict.agrees(), "{version:?}:\n{verdict}");
-        if version == Version::V2 {
+        if version == SessionApiVersion::V2 {
             altered_descriptions::check_each(&exchanges, &exceptions);
         }
         // Checks that the check itself can fail: it must, if one of the described messages is missing.
--- a/crates/daemon/tests/described/previous_incarnations.rs
+++ b/crates/daemon/tests/described/previous_incarnations.rs
@@ -2,7 +2,7 @@
 use crate::support::{Backend, Harness};
 use crate::transcript::Transcript;
 use crate::{start_harness, start_harness_on};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tempfile::TempDir;
@@ -17,11 +17,11 @@
     key: PathBuf,
     /// The file with the identity of the host's boot.
     boot: PathBuf,
-    version: Version,
+    version: SessionApiVersion,
 }
 
 impl Stores {
-    fn new(version: Version) -> Stores {
+    fn new(version: SessionApiVersion) -> Stores {
         let dir = tempfile::tempdir().unwrap();
         let stores = Stores {
             key: dir.path().join("key"),
@@ -60,7 +60,7 @@
     }
 }
 
-pub(crate) fn run(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: SessionApiVersion, transcript: &Transcript) {
     let stores = Stores::new(version);
     start_first_and_stop(&stores, transcript);
     report_clean_and_killed(&stores, transcript);
--- a/crates/daemon/tests/described/sessions.rs
+++ b/crates/daemon/tests/described/sessions.rs
@@ -2,10 +2,10 @@
 use crate::start_harness;
 use crate::support::{wait_until, Harness, FREE, PAID};
 use crate::transcript::{open_params, reason, RecordedPlayer, Transcript};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use serde_json::{json, Value};
 
-pub(crate) fn run(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: SessionApiVersion, transcript: &Transcript) {
     let harness = start_harness(&[]);
     let address = harness.daemon.address();
     let mut player = RecordedPlayer::connect(address, version, transcript);
@@ -20,7 +20,7 @@
 }
 
 fn open_resume_and_close(
-    version: Version,
+    version: SessionApiVersion,
     player: &mut RecordedPlayer,
     other: &mut RecordedPlayer,
 ) {
@@ -32,7 +32,7 @@
     let session = opened["result"]["session"].clone();
     assert_eq!(
         opened["result"]["hall"].is_string(),
-        version == Version::V2,
+        version == SessionApiVersion::V2,
         "{opened}"
     );
     let resumed = other.call(
--- a/crates/daemon/tests/described/transcript.rs
+++ b/crates/daemon/tests/described/transcript.rs
@@ -1,7 +1,7 @@
 //! The record of what a run with one API version exchanged, and players that add to it.
 use crate::support::{wait_until, TEST_TIMEOUT};
 use crankpaddle_api::conform::Exchange;
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -87,7 +87,7 @@
 impl RecordedPlayer {
     pub(crate) fn connect(
         address: SocketAddr,
-        version: Version,
+        version: SessionApiVersion,
         transcript: &Transcript,
     ) -> RecordedPlayer {
         let stream = TcpStream::connect(address).unwrap();
--- a/crates/front/src/core/actions.rs
+++ b/crates/front/src/core/actions.rs
@@ -74,7 +74,8 @@
             .requests
             .get(&id)
             .map(|request| request.session_request.class);
-        if self.stage() == RecoveryStage::PaidOnly && class.is_some_and(|class| self.is_paid(class))
+        if self.recovery_stage() == RecoveryStage::PaidOnly
+            && class.is_some_and(|class| self.is_paid(class))
         {
             self.staged_recovery
                 .paid_rejected(self.now, Duration::from_nanos(retry_after_ns));
--- a/crates/front/src/core/attempts.rs
+++ b/crates/front/src/core/attempts.rs
@@ -211,7 +211,7 @@
         if request.is_waiting() {
             request.phase = RequestPhase::Waiting(None);
         }
-        request.may_have_run |= !keys::never_ran(end.outcome);
+        request.may_have_run |= !keys::proves_never_ran(end.outcome);
         request.failure = failure_reason(end.outcome);
         let number = request.last_attempt_number();
         self.emit(Event::AttemptEnded {
--- a/crates/front/src/core/dispatch.rs
+++ b/crates/front/src/core/dispatch.rs
@@ -23,17 +23,17 @@
         match input {
             Input::Open {
                 call,
-                open,
-                received,
-            } => self.open_received(call, open, received, out),
+                request,
+                received_at,
+            } => self.open_received(call, request, received_at, out),
             Input::Resume { call, tenant, key } => self.resume(call, tenant, key, out),
             Input::Close { call, session } => self.close(call, session, out),
-            Input::Adopt {
+            Input::AdoptSession {
                 player,
                 open,
                 server,
             } => self.adopt(player, open, server, out),
-            Input::Leave(player) => self.leave(player, out),
+            Input::PlayerLeft(player) => self.leave(player, out),
             Input::PlayerDisconnected(player) => self.player_disconnected(player),
             Input::EndpointList(kind, list) => self.emit(Event::EndpointList(kind, list)),
             Input::SetUpCompleted(id, result) => self.set_up_completed(id, result, out),
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -148,13 +148,13 @@
 
     /// Number of requests that have no answer yet, including those in the recovery queue.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_requests(&self) -> usize {
         self.waiting_count + self.recovery_queue.len()
     }
 
     /// Number of sessions that play.
     #[must_use]
-    pub fn playing(&self) -> usize {
+    pub fn playing_sessions(&self) -> usize {
         self.playing_count
     }
 
--- a/crates/front/src/core/open.rs
+++ b/crates/front/src/core/open.rs
@@ -2,7 +2,7 @@
 use super::request::{Request, SessionKey};
 use super::startup_recovery::RecoveryDecision;
 use super::Core;
-use crate::ids::Call;
+use crate::ids::PlayerCall;
 use crate::input::OpenRequest;
 use crate::jitter::jitter;
 use crate::keys::{self, ReopenDecision};
@@ -31,7 +31,7 @@
     /// Opens a session for a request that was just read.
     pub(super) fn open_received(
         &mut self,
-        call: Call,
+        call: PlayerCall,
         open: OpenRequest,
         received_at: Time,
         out: &mut Vec<Output>,
@@ -119,7 +119,7 @@
 
     /// The rejection of a request that the front does not admit because it shuts down or is overloaded; `None` if it
     /// admits the request.
-    fn admission_rejection(&mut self, call: Call, ready_at: Time) -> Option<Answer> {
+    fn admission_rejection(&mut self, call: PlayerCall, ready_at: Time) -> Option<Answer> {
         let reason = if self.draining {
             RejectReason::ShuttingDown
         } else {
@@ -132,7 +132,7 @@
         })
     }
 
-    fn overload_reason(&mut self, call: Call, ready_at: Time) -> Option<RejectReason> {
+    fn overload_reason(&mut self, call: PlayerCall, ready_at: Time) -> Option<RejectReason> {
         let pending_of_player = self.waiting_count_of(call.player);
         let decision =
             self.overload
--- a/crates/front/src/core/request.rs
+++ b/crates/front/src/core/request.rs
@@ -1,5 +1,5 @@
 //! The state of one request for a session, and of one player.
-use crate::ids::{AttemptId, Call, PlayerId};
+use crate::ids::{AttemptId, PlayerCall, PlayerId};
 use crate::input::{OpenRequest, SendState};
 use crate::keys::{KeyState, RequestOutcome};
 use crate::output::FailureReason;
@@ -66,7 +66,7 @@
     pub(super) session_request: SessionRequest,
     pub(super) key: String,
     /// The call that gets the answer; `None` if it was answered, or if its player disconnected.
-    pub(super) call: Option<Call>,
+    pub(super) call: Option<PlayerCall>,
     /// The player that the request is attached to; `None` while no connected player has it, and once it has ended.
     pub(super) player: Option<PlayerId>,
     /// Number of times that its player disconnected. It identifies the resume timer of the latest disconnect.
@@ -91,7 +91,7 @@
     pub(super) fn new(
         session_request: SessionRequest,
         key: String,
-        call: Option<Call>,
+        call: Option<PlayerCall>,
         viewer_deadline: Time,
     ) -> Request {
         Request {
--- a/crates/front/src/core/requests.rs
+++ b/crates/front/src/core/requests.rs
@@ -1,7 +1,7 @@
 //! Inputs of players about existing sessions: reattaching, closing and adoption.
 use super::request::{OutstandingAttempt, Request, RequestPhase, SessionKey};
 use super::Core;
-use crate::ids::{AttemptId, Call, PlayerId};
+use crate::ids::{AttemptId, PlayerCall, PlayerId};
 use crate::input::{OpenRequest, SendState};
 use crate::keys::RequestOutcome;
 use crate::output::{Answer, Notification, Output, SessionEndReason};
@@ -15,7 +15,13 @@
 
 impl Core {
     /// Reattaches a player to the request with the given key.
-    pub(super) fn resume(&mut self, call: Call, tenant: u16, key: String, out: &mut Vec<Output>) {
+    pub(super) fn resume(
+        &mut self,
+        call: PlayerCall,
+        tenant: u16,
+        key: String,
+        out: &mut Vec<Output>,
+    ) {
         let id = self.keys.get(&SessionKey { tenant, key }).copied();
         let request = id.and_then(|id| self.requests.get(&id));
         let (Some(id), Some(request)) = (id, request) else {
@@ -33,7 +39,7 @@
 
     /// Attaches a call, from the same or another connection, to a request that waits or plays. The call that waited for
     /// the answer so far, or the player of the session so far, is superseded.
-    pub(super) fn reattach(&mut self, call: Call, id: RequestId, out: &mut Vec<Output>) {
+    pub(super) fn reattach(&mut self, call: PlayerCall, id: RequestId, out: &mut Vec<Output>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -67,7 +73,7 @@
     }
 
     /// Ends a session, if it belongs to the player of the call.
-    pub(super) fn close(&mut self, call: Call, session: RequestId, out: &mut Vec<Output>) {
+    pub(super) fn close(&mut self, call: PlayerCall, session: RequestId, out: &mut Vec<Output>) {
         let is_own = self
             .requests
             .get(&session)
--- a/crates/front/src/core/set_up.rs
+++ b/crates/front/src/core/set_up.rs
@@ -61,7 +61,7 @@
             number,
             server,
             order,
-            until: timeout_at.map_or(deadline, |at| at.min(deadline)),
+            deadline: timeout_at.map_or(deadline, |at| at.min(deadline)),
         });
     }
 
--- a/crates/front/src/core/startup_recovery.rs
+++ b/crates/front/src/core/startup_recovery.rs
@@ -43,13 +43,13 @@
 
     /// The current stage of the staged recovery.
     #[must_use]
-    pub fn stage(&self) -> RecoveryStage {
+    pub fn recovery_stage(&self) -> RecoveryStage {
         self.staged_recovery.stage()
     }
 
     /// The state of the staged recovery, with the transitions that it made so far.
     #[must_use]
-    pub fn recovery(&self) -> &StagedRecovery {
+    pub fn staged_recovery(&self) -> &StagedRecovery {
         &self.staged_recovery
     }
 
@@ -85,7 +85,7 @@
     /// this front reject more requests and start fewer attempts.
     fn update_replica_count(&mut self) {
         let known = self.known_fronts.max(self.settings.replica_count);
-        let replica_count = if self.stage() < RecoveryStage::Normal {
+        let replica_count = if self.recovery_stage() < RecoveryStage::Normal {
             self.previous_fronts.at_least(known)
         } else {
             known
@@ -117,7 +117,7 @@
 
     /// Serves the queued requests, once everything that reconciliation found was passed to the core.
     pub(super) fn serve_queued(&mut self, out: &mut Vec<Output>) {
-        if self.stage() < RecoveryStage::PaidOnly {
+        if self.recovery_stage() < RecoveryStage::PaidOnly {
             return;
         }
         for queued in self.recovery_queue.take_all() {
@@ -156,7 +156,7 @@
 
     fn queue_for_recovery(&mut self, received_open: &ReceivedOpen) -> RecoveryDecision {
         let call = received_open.call;
-        let pending = self.waiting();
+        let pending = self.waiting_requests();
         let pending_of_player =
             self.recovery_queue.count_of(call.player) + self.waiting_count_of(call.player);
         let admission = self
--- a/crates/front/src/ids.rs
+++ b/crates/front/src/ids.rs
@@ -7,7 +7,7 @@
 
 /// Identifies a request of a player that gets exactly one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Call {
+pub struct PlayerCall {
     /// The player that made the call.
     pub player: PlayerId,
     /// Number of the call, assigned by its connection and unique within it.
--- a/crates/front/src/input.rs
+++ b/crates/front/src/input.rs
@@ -1,5 +1,5 @@
 //! The inputs of a core: what players, servers, peers and the recovery of a previous incarnation report to it.
-use crate::ids::{AttemptId, Call, PlayerId};
+use crate::ids::{AttemptId, PlayerCall, PlayerId};
 use crate::keys::RequestOutcome;
 use crankpaddle::{
     AttemptOutcome, CrossZonePolicy, Endpoint, EndpointListKind, LoadReport, RequestId, ServerId,
@@ -71,16 +71,16 @@
     /// A player requests a session.
     Open {
         /// The call to answer.
-        call: Call,
+        call: PlayerCall,
         /// What the player requests: its key, class, tenant, title and limits.
-        open: OpenRequest,
+        request: OpenRequest,
         /// When the message was read off the socket.
-        received: Time,
+        received_at: Time,
     },
     /// A player reattaches to its session, or to its pending request.
     Resume {
         /// The call to answer.
-        call: Call,
+        call: PlayerCall,
         /// The tenant that the session was opened for.
         tenant: u16,
         /// The key that the session was opened with.
@@ -89,13 +89,13 @@
     /// A player ends its session.
     Close {
         /// The call to answer.
-        call: Call,
+        call: PlayerCall,
         /// The request that the session was established for.
         session: RequestId,
     },
     /// A session that was established before this front started plays at a server, and no call waits for an answer.
     /// Handled by [`Output::SessionAdopted`](crate::Output::SessionAdopted) unless its key is already known.
-    Adopt {
+    AdoptSession {
         /// The player that the session belongs to.
         player: PlayerId,
         /// The request that the session was set up for.
@@ -104,7 +104,7 @@
         server: ServerId,
     },
     /// A player withdraws its pending requests and ends its sessions, at once and without an answer.
-    Leave(PlayerId),
+    PlayerLeft(PlayerId),
     /// A player's connection is closed.
     PlayerDisconnected(PlayerId),
     /// A full or incremental endpoint list was received.
--- a/crates/front/src/keys.rs
+++ b/crates/front/src/keys.rs
@@ -65,7 +65,7 @@
 
 /// Whether an outcome proves that the attempt never ran, so that a retry cannot set the session up twice.
 #[must_use]
-pub fn never_ran(outcome: AttemptOutcome) -> bool {
+pub fn proves_never_ran(outcome: AttemptOutcome) -> bool {
     matches!(
         outcome,
         AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -37,7 +37,7 @@
 pub use crankpaddle_recovery::{
     ConservativeBound, PreviousShutdown, RecoveryStage, StageEvidence, StagedRecovery,
 };
-pub use ids::{AttemptId, Call, PlayerId};
+pub use ids::{AttemptId, PlayerCall, PlayerId};
 pub use input::{Input, OpenRequest, RateCap, SendState, SetUpResult};
 pub use jitter::jitter;
 pub use output::{
--- a/crates/front/src/output.rs
+++ b/crates/front/src/output.rs
@@ -1,5 +1,5 @@
 //! The outputs of a core: answers, notifications and actions that its driver carries out.
-use crate::ids::{AttemptId, Call, PlayerId};
+use crate::ids::{AttemptId, PlayerCall, PlayerId};
 use crankpaddle::{RequestId, ServerId, Time};
 use crankpaddle_recovery::{RecoveryStage, StageEvidence};
 use std::time::Duration;
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Answer a call. This is its only answer.
-    Answer(Call, Answer),
+    Answer(PlayerCall, Answer),
     /// Send a notification about a session to its player.
     Notify(PlayerId, RequestId, Notification),
     /// Send one attempt to a server. The driver reports the result by
@@ -132,7 +132,7 @@
         /// What to set up.
         order: SetUpOrder,
         /// When the attempt times out.
-        until: Time,
+        deadline: Time,
     },
     /// An adopted session is tracked as this attempt from now on.
     SessionAdopted {
--- a/crates/front/src/recovery_queue.rs
+++ b/crates/front/src/recovery_queue.rs
@@ -1,6 +1,6 @@
 //! The queue of requests on which the core does not decide until it is known which set-ups a previous incarnation had
 //! started.
-use crate::ids::{Call, PlayerId};
+use crate::ids::{PlayerCall, PlayerId};
 use crate::input::OpenRequest;
 use crankpaddle::Time;
 use std::collections::VecDeque;
@@ -8,7 +8,7 @@
 /// A player's request for a session, with the call that gets the answer.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedOpen {
-    pub call: Call,
+    pub call: PlayerCall,
     pub open: OpenRequest,
     /// When the message was read off the socket.
     pub received_at: Time,
--- a/crates/front/tests/drive/harness.rs
+++ b/crates/front/tests/drive/harness.rs
@@ -67,16 +67,16 @@
     }
 
     /// Creates a new call of a player.
-    pub(crate) fn call(&mut self, player: u64) -> Call {
+    pub(crate) fn call(&mut self, player: u64) -> PlayerCall {
         self.calls += 1;
-        Call {
+        PlayerCall {
             player: PlayerId(player),
             number: self.calls,
         }
     }
 
     /// Sends an open request for a session, and returns its call and the outputs.
-    pub(crate) fn open(&mut self, player: u64, key: &str, class: u8) -> (Call, Vec<Output>) {
+    pub(crate) fn open(&mut self, player: u64, key: &str, class: u8) -> (PlayerCall, Vec<Output>) {
         let call = self.call(player);
         let open = OpenRequest {
             key: key.into(),
@@ -90,8 +90,8 @@
         let received = self.now;
         let outputs = self.handle(Input::Open {
             call,
-            open,
-            received,
+            request: open,
+            received_at: received,
         });
         (call, outputs)
     }
@@ -137,7 +137,7 @@
 }
 
 /// The answers among the outputs.
-pub(crate) fn answers(outputs: &[Output]) -> Vec<(Call, Answer)> {
+pub(crate) fn answers(outputs: &[Output]) -> Vec<(PlayerCall, Answer)> {
     let answer_of = |output: &Output| match output {
         Output::Answer(call, answer) => Some((*call, answer.clone())),
         _ => None,
--- a/crates/front/tests/drive/players.rs
+++ b/crates/front/tests/drive/players.rs
@@ -24,7 +24,7 @@
         .advance(10 * SECOND)
         .iter()
         .any(|output| matches!(output, Output::TearDown(..))));
-    assert_eq!(harness.core.playing(), 1);
+    assert_eq!(harness.core.playing_sessions(), 1);
 }
 
 #[test]
@@ -72,10 +72,10 @@
     let (attempt, server) = first_set_up(&outputs).unwrap();
     harness.establish(attempt);
     harness.handle(Input::PlayerDisconnected(PlayerId(1)));
-    assert_eq!(harness.core.playing(), 1);
+    assert_eq!(harness.core.playing_sessions(), 1);
     let outputs = harness.advance(4 * SECOND);
     assert!(outputs.contains(&Output::TearDown(attempt, server)));
-    assert_eq!(harness.core.playing(), 0);
+    assert_eq!(harness.core.playing_sessions(), 0);
 }
 
 #[test]
@@ -83,13 +83,13 @@
     let mut harness = Harness::new();
     let (call, outputs) = harness.open(7, "a", PAID);
     let (attempt, server) = first_set_up(&outputs).expect("an attempt");
-    let outputs = harness.handle(Input::Leave(call.player));
+    let outputs = harness.handle(Input::PlayerLeft(call.player));
     assert_eq!(
         outputs,
         [Output::AbandonAttempt(attempt, server)],
         "the set-up is abandoned and no answer follows"
     );
-    assert_eq!(harness.core.waiting(), 0);
+    assert_eq!(harness.core.waiting_requests(), 0);
     assert_eq!(harness.establish(attempt), []);
 }
 
@@ -104,7 +104,7 @@
         max_rung: 2,
         ..OpenRequest::default()
     };
-    let adopt = |player| Input::Adopt {
+    let adopt = |player| Input::AdoptSession {
         player: PlayerId(player),
         open: open.clone(),
         server: ServerId(2),
@@ -120,7 +120,7 @@
     });
     let (player, attempt, server) = adopted.expect("the session is adopted");
     assert_eq!(
-        (player, server, harness.core.playing()),
+        (player, server, harness.core.playing_sessions()),
         (PlayerId(50), ServerId(2), 1)
     );
     assert_eq!(
@@ -128,12 +128,12 @@
         [],
         "a session that is adopted twice is tracked once"
     );
-    let outputs = harness.handle(Input::Leave(PlayerId(50)));
+    let outputs = harness.handle(Input::PlayerLeft(PlayerId(50)));
     assert!(
         outputs.contains(&Output::TearDown(attempt, server)),
         "{outputs:?}"
     );
-    assert_eq!(harness.core.playing(), 0);
+    assert_eq!(harness.core.playing_sessions(), 0);
     assert!(
         first_set_up(&harness.open(1, "held", PAID).1).is_none(),
         "a paid session is not set up again"
--- a/crates/front/tests/drive/random_run.rs
+++ b/crates/front/tests/drive/random_run.rs
@@ -25,7 +25,7 @@
     seed: u64,
     rng: oorandom::Rand32,
     harness: Harness,
-    pending_calls: BTreeMap<Call, PendingCall>,
+    pending_calls: BTreeMap<PlayerCall, PendingCall>,
     outstanding: BTreeMap<RequestId, AttemptId>,
     attempts: BTreeMap<AttemptId, StartedAttempt>,
     playing: BTreeSet<AttemptId>,
@@ -199,7 +199,7 @@
         }
     }
 
-    fn check_answer(&mut self, call: Call, answer: &Answer) {
+    fn check_answer(&mut self, call: PlayerCall, answer: &Answer) {
         let seed = self.seed;
         let PendingCall { key, opened_at } = self
             .pending_calls
@@ -234,7 +234,7 @@
             "seed {seed}: calls without an answer: {:?}",
             self.pending_calls
         );
-        assert_eq!(self.harness.core.waiting(), 0);
+        assert_eq!(self.harness.core.waiting_requests(), 0);
     }
 }
 
--- a/crates/front/tests/drive/sessions.rs
+++ b/crates/front/tests/drive/sessions.rs
@@ -179,7 +179,13 @@
     assert_eq!(answers(&harness.establish(attempt)).len(), 1);
     let outputs = harness.handle(Input::Stop);
     assert!(outputs.contains(&Output::TearDown(attempt, server)));
-    assert_eq!((harness.core.waiting(), harness.core.playing()), (0, 0));
+    assert_eq!(
+        (
+            harness.core.waiting_requests(),
+            harness.core.playing_sessions()
+        ),
+        (0, 0)
+    );
 }
 
 #[test]
--- a/crates/front/tests/drive/set_ups.rs
+++ b/crates/front/tests/drive/set_ups.rs
@@ -100,7 +100,7 @@
         )]
     ));
     assert_eq!(
-        harness.handle_input(Input::Leave(PlayerId(2))),
+        harness.handle_input(Input::PlayerLeft(PlayerId(2))),
         [Output::AbandonAttempt(withdrawn, server)]
     );
     assert_eq!(
@@ -110,7 +110,13 @@
     );
     assert!(harness.decide().is_empty());
     assert!(policy_events.load(Ordering::Relaxed) > before);
-    assert_eq!((harness.core.waiting(), harness.core.playing()), (0, 0));
+    assert_eq!(
+        (
+            harness.core.waiting_requests(),
+            harness.core.playing_sessions()
+        ),
+        (0, 0)
+    );
 }
 
 /// Guards against a retry for a viewer that is gone. The attempt has ended, the policy has not decided on a retry yet,
@@ -130,9 +136,11 @@
             SetUpResult::Ended(AttemptOutcome::Rejected, vec![])
         ))
         .is_empty());
-    assert!(harness.handle_input(Input::Leave(PlayerId(1))).is_empty());
+    assert!(harness
+        .handle_input(Input::PlayerLeft(PlayerId(1)))
+        .is_empty());
     assert!(harness.decide().is_empty());
-    assert_eq!(harness.core.waiting(), 0);
+    assert_eq!(harness.core.waiting_requests(), 0);
     // The retry of the policy is reported to it as not sent. Otherwise the policy would count it as outstanding
     // forever.
     let events: Vec<String> = events.try_iter().collect();
@@ -174,7 +182,13 @@
         )],
         "a session that has ended does not play"
     );
-    assert_eq!((harness.core.waiting(), harness.core.playing()), (0, 0));
+    assert_eq!(
+        (
+            harness.core.waiting_requests(),
+            harness.core.playing_sessions()
+        ),
+        (0, 0)
+    );
 }
 
 #[test]
--- a/crates/front/tests/startup_recovery.rs
+++ b/crates/front/tests/startup_recovery.rs
@@ -70,9 +70,9 @@
         all
     }
 
-    fn open(&mut self, key: &str, class: u8) -> (Call, Vec<Output>) {
+    fn open(&mut self, key: &str, class: u8) -> (PlayerCall, Vec<Output>) {
         self.calls += 1;
-        let call = Call {
+        let call = PlayerCall {
             player: PlayerId(self.calls),
             number: 1,
         };
@@ -89,8 +89,8 @@
             call,
             self.handle(Input::Open {
                 call,
-                open,
-                received,
+                request: open,
+                received_at: received,
             }),
         )
     }
@@ -139,7 +139,7 @@
     }
 }
 
-fn answer_to(outputs: &[Output], wanted: Call) -> Option<&Answer> {
+fn answer_to(outputs: &[Output], wanted: PlayerCall) -> Option<&Answer> {
     outputs.iter().find_map(|output| {
         if let Output::Answer(call, answer) = output {
             (*call == wanted).then_some(answer)
@@ -163,7 +163,10 @@
     assert!(outputs.is_empty(), "{outputs:?}");
     let (free, _) = harness.open("b", FREE);
     assert_eq!(
-        (harness.core.queued_for_recovery(), harness.core.waiting()),
+        (
+            harness.core.queued_for_recovery(),
+            harness.core.waiting_requests()
+        ),
         (2, 2)
     );
     harness.advance(500 * MILLISECOND);
@@ -187,7 +190,7 @@
     );
     // After one second without a rejected paid request, all classes are served.
     harness.advance(SECOND);
-    assert_eq!(harness.core.stage(), RecoveryStage::AllClasses);
+    assert_eq!(harness.core.recovery_stage(), RecoveryStage::AllClasses);
     assert_eq!(count_set_ups(&harness.open("c", FREE).1), 1);
 }
 
@@ -262,7 +265,7 @@
             key: key.into(),
         });
     }
-    let calls: Vec<Call> = ["spent", "failed", "never"]
+    let calls: Vec<PlayerCall> = ["spent", "failed", "never"]
         .map(|key| harness.open(key, PAID).0)
         .into();
     let resolutions = [
@@ -325,7 +328,7 @@
         else {
             panic!("{outputs:?}")
         };
-        assert_eq!(harness.core.playing(), 1);
+        assert_eq!(harness.core.playing_sessions(), 1);
         let again = harness.handle(session_found("kept", 6, ServerId(3)));
         assert!(
             matches!(
@@ -346,7 +349,7 @@
         let outputs = harness.advance(5 * SECOND);
         let ended = outputs.contains(&Output::TearDown(attempt, ServerId(2)));
         assert_eq!(
-            (ended, harness.core.playing()),
+            (ended, harness.core.playing_sessions()),
             (!reattaches, usize::from(reattaches))
         );
     }
@@ -360,7 +363,7 @@
     harness.complete_reconciliation();
     harness.advance(5 * SECOND);
     assert_eq!(
-        (harness.core.stage(), harness.core.replica_count()),
+        (harness.core.recovery_stage(), harness.core.replica_count()),
         (RecoveryStage::AllClasses, 40)
     );
     harness.handle(Input::FleetSizeChanged(50));
@@ -372,7 +375,7 @@
     harness.handle(Input::FleetSizeChanged(11));
     harness.advance(20 * SECOND);
     assert_eq!(
-        (harness.core.stage(), harness.core.replica_count()),
+        (harness.core.recovery_stage(), harness.core.replica_count()),
         (RecoveryStage::Normal, 11)
     );
 }
@@ -382,7 +385,7 @@
     let mut harness = recovering_harness(PreviousShutdown::Clean, 40);
     harness.list_endpoints();
     assert_eq!(
-        (harness.core.stage(), harness.core.replica_count()),
+        (harness.core.recovery_stage(), harness.core.replica_count()),
         (RecoveryStage::Normal, 2)
     );
     assert_eq!(count_set_ups(&harness.open("a", FREE).1), 1);
@@ -391,7 +394,7 @@
 #[test]
 fn the_recovery_queue_is_bounded_and_players_that_leave_or_disconnect_get_no_answer() {
     let mut harness = recovering_harness(PreviousShutdown::PowerLost, 0);
-    let calls: Vec<(Call, Vec<Output>)> = (0..25)
+    let calls: Vec<(PlayerCall, Vec<Output>)> = (0..25)
         .map(|number| harness.open(&format!("k{number}"), PAID))
         .collect();
     let rejected = calls.iter().filter(|(call, outputs)| {
@@ -408,7 +411,7 @@
         (5, 20)
     );
     harness.handle(Input::PlayerDisconnected(calls[0].0.player));
-    harness.handle(Input::Leave(calls[1].0.player));
+    harness.handle(Input::PlayerLeft(calls[1].0.player));
     assert_eq!(harness.core.queued_for_recovery(), 18);
     let outputs = harness.handle(Input::Stop);
     assert!(answer_to(&outputs, calls[0].0).is_none() && answer_to(&outputs, calls[2].0).is_some());
@@ -430,7 +433,7 @@
         };
         let mut attempt = outputs.iter().find_map(started).unwrap();
         let mut outputs_since = Vec::new();
-        while harness.core.waiting() > 0 {
+        while harness.core.waiting_requests() > 0 {
             harness.handle(Input::SendStateChanged(attempt, state));
             let outputs = harness.advance(100 * MILLISECOND);
             attempt = outputs.iter().find_map(started).unwrap_or(attempt);
--- a/crates/node/src/event_loop/client_requests.rs
+++ b/crates/node/src/event_loop/client_requests.rs
@@ -3,7 +3,7 @@
 use super::wire_time::{from_fractional_milliseconds, from_milliseconds, to_milliseconds};
 use super::{longest_wait, ConnectionId, EventLoop};
 use crate::shared::increment;
-use crankpaddle_front::{Call, Input, OpenRequest, PlayerId, Time};
+use crankpaddle_front::{Input, OpenRequest, PlayerCall, PlayerId, Time};
 use crankpaddle_net::{clock, CloseReason};
 use crankpaddle_node_protocol::viewers::{self, cause, InvalidField, Message, SetUpParams};
 use crankpaddle_node_protocol::Tag;
@@ -114,7 +114,7 @@
             title: params.title_text,
             state: SessionState::Established,
         });
-        self.notify_core(Input::Adopt {
+        self.notify_core(Input::AdoptSession {
             player,
             open,
             server,
@@ -156,9 +156,9 @@
             state: SessionState::AwaitingAnswer { description },
         });
         self.notify_core(Input::Open {
-            call: Call { player, number: 0 },
-            open,
-            received: received_at,
+            call: PlayerCall { player, number: 0 },
+            request: open,
+            received_at,
         });
     }
 
@@ -257,7 +257,7 @@
     /// Removes a session whose viewer has left it, and reports that to the core.
     pub(super) fn end_session(&mut self, player: PlayerId, reason: RemovalReason) {
         if self.remove_session(player, reason).is_some() {
-            self.notify_core(Input::Leave(player));
+            self.notify_core(Input::PlayerLeft(player));
         }
     }
 
--- a/crates/node/src/event_loop/core_driver.rs
+++ b/crates/node/src/event_loop/core_driver.rs
@@ -43,7 +43,7 @@
         if elapsed >= SLOW_DECISION_THRESHOLD {
             tracing::debug!(
                 elapsed_us = elapsed.as_micros(),
-                pending = self.core.waiting(),
+                pending = self.core.waiting_requests(),
                 "slow decision"
             );
         }
@@ -78,10 +78,10 @@
     fn publish_counts(&self) {
         self.shared
             .waiting
-            .store(self.core.waiting(), Ordering::Relaxed);
+            .store(self.core.waiting_requests(), Ordering::Relaxed);
         self.shared
             .playing
-            .store(self.core.playing(), Ordering::Relaxed);
+            .store(self.core.playing_sessions(), Ordering::Relaxed);
     }
 
     fn execute_outputs(&mut self) {
@@ -100,9 +100,9 @@
                 attempt,
                 server,
                 order,
-                until,
+                deadline,
                 ..
-            } => self.start_attempt(attempt, server, &order, until),
+            } => self.start_attempt(attempt, server, &order, deadline),
             Output::SessionAdopted {
                 player,
                 attempt,
--- a/crates/node/src/event_loop/shutdown.rs
+++ b/crates/node/src/event_loop/shutdown.rs
@@ -67,7 +67,7 @@
     /// any connection. One that the viewer still uses is closed, since the process may be killed between a set-up and its
     /// answer.
     fn may_close(&self, connection: &ViewerConnection, open_connections: usize) -> bool {
-        if self.core.playing() == 0 && self.unsent_notifications.is_empty() {
+        if self.core.playing_sessions() == 0 && self.unsent_notifications.is_empty() {
             return true;
         }
         open_connections > 1 && self.has_drained_for(connection.last_used(), ARRIVAL_PERIOD)
@@ -95,8 +95,8 @@
     fn has_pending_work(&self) -> bool {
         let now = clock::now();
         if !self.has_drained_for(now, ARRIVAL_PERIOD)
-            || self.core.waiting() > 0
-            || self.core.playing() > 0
+            || self.core.waiting_requests() > 0
+            || self.core.playing_sessions() > 0
             || !self.unsent_notifications.is_empty()
         {
             return true;
--- a/crates/session-api/src/answers.rs
+++ b/crates/session-api/src/answers.rs
@@ -5,7 +5,7 @@
     RungChanged,
 };
 use crate::methods::session_name;
-use crate::Version;
+use crate::SessionApiVersion;
 use crankpaddle_front::{
     Answer, FailureReason, Notification, RejectReason, RequestId, SessionEndReason,
 };
@@ -26,9 +26,11 @@
 const NANOSECONDS_PER_MILLISECOND: u128 = 1_000_000;
 
 /// The reason as sent to the player. In a version that lacks it, it is replaced by the most similar one.
-fn refused_reason(reason: RejectReason, version: Version) -> RefusedReason {
+fn refused_reason(reason: RejectReason, version: SessionApiVersion) -> RefusedReason {
     match (reason, version) {
-        (RejectReason::CrossZoneForbidden, Version::V2) => RefusedReason::CrossZoneForbidden,
+        (RejectReason::CrossZoneForbidden, SessionApiVersion::V2) => {
+            RefusedReason::CrossZoneForbidden
+        }
         (RejectReason::NoCapacity | RejectReason::CrossZoneForbidden, _) => {
             RefusedReason::NoCapacity
         }
@@ -89,14 +91,19 @@
 
 /// Builds the answer to a call. `location` is used only if the session is established.
 #[must_use]
-pub fn answer(version: Version, id: &Id, answer: &Answer, location: SessionLocation<'_>) -> Value {
+pub fn answer(
+    version: SessionApiVersion,
+    id: &Id,
+    answer: &Answer,
+    location: SessionLocation<'_>,
+) -> Value {
     match answer {
         Answer::Established { session, rung, .. } => {
             let opened = Opened {
                 session: session_name(session.0),
                 media: location.media.to_owned(),
                 rung: *rung,
-                hall: (version == Version::V2).then(|| location.zone.to_owned()),
+                hall: (version == SessionApiVersion::V2).then(|| location.zone.to_owned()),
             };
             jsonrpc::result(id, to_json(opened))
         }
--- a/crates/session-api/src/calls.rs
+++ b/crates/session-api/src/calls.rs
@@ -55,12 +55,12 @@
 
 /// The pending calls and batches of one connection. The connection assigns their numbers and never reuses one.
 #[derive(Clone, Debug, Default)]
-pub struct Calls {
+pub struct PendingCalls {
     pending: Vec<PendingCall>,
     batches: BTreeMap<u64, Batch>,
 }
 
-impl Calls {
+impl PendingCalls {
     /// Begins a batch of which `expected_answers` members get an answer. A batch without any is not tracked.
     pub fn begin(&mut self, batch: u64, expected_answers: usize) {
         if expected_answers > 0 {
--- a/crates/session-api/src/calls/tests.rs
+++ b/crates/session-api/src/calls/tests.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn an_answer_outside_a_batch_is_sent_at_once_and_only_for_a_pending_call() {
-    let mut calls = Calls::default();
+    let mut calls = PendingCalls::default();
     calls.add_pending(1, id(7), None);
     assert!(calls.answer(2, None, |_| json!("x")).is_empty());
     assert_eq!(
@@ -20,7 +20,7 @@
 
 #[test]
 fn notifications_of_a_session_follow_the_batch_that_announces_it() {
-    let mut calls = Calls::default();
+    let mut calls = PendingCalls::default();
     calls.begin(1, 3);
     calls.add_pending(1, id(1), Some(1));
     calls.add_pending(2, id(2), Some(1));
@@ -49,7 +49,7 @@
 
 #[test]
 fn concurrent_batches_are_independent() {
-    let mut calls = Calls::default();
+    let mut calls = PendingCalls::default();
     for batch in [1, 2] {
         calls.begin(batch, 2);
         calls.add_pending(batch * 10, id(batch), Some(batch));
--- a/crates/session-api/src/client/tests.rs
+++ b/crates/session-api/src/client/tests.rs
@@ -2,7 +2,7 @@
 use crate::answers::{answer, notification, SessionLocation};
 use crate::jsonrpc::{self, Id, Message};
 use crate::methods::{session_number, Method};
-use crate::Version;
+use crate::SessionApiVersion;
 use crankpaddle_front::{
     Answer, AttemptId, FailureReason, Notification, RejectReason, RequestId, ServerId,
     SessionEndReason,
@@ -18,7 +18,7 @@
         top: Some(2),
         ..Open::default()
     };
-    let Message::One(Ok(call)) = jsonrpc::read(&open(5, &params)) else {
+    let Message::Single(Ok(call)) = jsonrpc::read(&open(5, &params)) else {
         panic!()
     };
     assert_eq!(
@@ -70,7 +70,12 @@
 }
 
 /// The answer of a front to the call with id [`CALL_ID`].
-fn answer_to_call(version: Version, core_answer: &Answer, media: &str, zone: &str) -> Value {
+fn answer_to_call(
+    version: SessionApiVersion,
+    core_answer: &Answer,
+    media: &str,
+    zone: &str,
+) -> Value {
     answer(
         version,
         &Id(CALL_ID.into()),
@@ -114,7 +119,7 @@
         (Answer::UnknownSession, ClientEvent::Unknown { id: CALL_ID }),
         (Answer::Closed, ClientEvent::Closed { id: CALL_ID }),
     ] {
-        let message = answer_to_call(Version::V1, &written, "http://x/y", "north");
+        let message = answer_to_call(SessionApiVersion::V1, &written, "http://x/y", "north");
         assert_parsed_as(&message, expected);
     }
 }
@@ -168,13 +173,13 @@
     let reason =
         |version| answer_to_call(version, &rejected, "", "")["error"]["data"]["reason"].clone();
     assert_eq!(
-        (reason(Version::V1), reason(Version::V2)),
+        (reason(SessionApiVersion::V1), reason(SessionApiVersion::V2)),
         ("no_room".into(), "held_at_home".into())
     );
     let zone =
         |version| answer_to_call(version, &established(), "m", "north")["result"]["hall"].clone();
     assert_eq!(
-        (zone(Version::V1), zone(Version::V2)),
+        (zone(SessionApiVersion::V1), zone(SessionApiVersion::V2)),
         (Value::Null, "north".into())
     );
 }
--- a/crates/session-api/src/jsonrpc.rs
+++ b/crates/session-api/src/jsonrpc.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     /// A call outside a batch, or the error to answer it with.
-    One(Member),
+    Single(Member),
     /// A batch of at least one member. Its answers are sent together.
     Batch(Vec<Member>),
 }
@@ -81,13 +81,13 @@
     match serde_json::from_str(text) {
         Err(error) => {
             let error = Error::new(PARSE_ERROR, format!("not JSON: {error}"));
-            Message::One(Err((Id::null(), error)))
+            Message::Single(Err((Id::null(), error)))
         }
         Ok(Value::Array(members)) if members.is_empty() => {
-            Message::One(Err(invalid_request(Id::null(), "an empty batch")))
+            Message::Single(Err(invalid_request(Id::null(), "an empty batch")))
         }
         Ok(Value::Array(members)) => Message::Batch(members.into_iter().map(read_member).collect()),
-        Ok(value) => Message::One(read_member(value)),
+        Ok(value) => Message::Single(read_member(value)),
     }
 }
 
--- a/crates/session-api/src/jsonrpc/tests.rs
+++ b/crates/session-api/src/jsonrpc/tests.rs
@@ -7,7 +7,7 @@
 /// The examples in section 7 of the specification that concern the messages to a server.
 #[test]
 fn examples_of_the_specification_are_parsed_as_specified() {
-    let Message::One(Ok(call)) =
+    let Message::Single(Ok(call)) =
         read(r#"{"jsonrpc":"2.0","method":"subtract","params":[42,23],"id":1}"#)
     else {
         panic!()
@@ -16,7 +16,7 @@
         (call.method.as_str(), call.id),
         ("subtract", Some(Id(1.into())))
     );
-    let Message::One(Ok(call)) = read(r#"{"jsonrpc":"2.0","method":"foobar"}"#) else {
+    let Message::Single(Ok(call)) = read(r#"{"jsonrpc":"2.0","method":"foobar"}"#) else {
         panic!()
     };
     assert_eq!((call.id, call.params), (None, Value::Null));
@@ -38,7 +38,7 @@
         (r#"{"jsonrpc":"1.0","method":"a","id":1}"#, INVALID_REQUEST),
         (r#"{"jsonrpc":"2.0","method":"a","id":{}}"#, INVALID_REQUEST),
     ] {
-        let Message::One(member) = read(text) else {
+        let Message::Single(member) = read(text) else {
             panic!("{text}")
         };
         assert_eq!(code(&member), expected_code, "{text}");
@@ -49,7 +49,7 @@
     assert!(members.len() == 3 && members.iter().all(|member| code(member) == INVALID_REQUEST));
     let with_null_id = read(r#"{"jsonrpc":"2.0","method":"a","id":null}"#);
     assert!(
-        matches!(with_null_id, Message::One(Ok(Call { id: Some(_), .. }))),
+        matches!(with_null_id, Message::Single(Ok(Call { id: Some(_), .. }))),
         "a null id is an id, so the call is not a notification"
     );
 }
--- a/crates/session-api/src/lib.rs
+++ b/crates/session-api/src/lib.rs
@@ -19,31 +19,31 @@
 
 /// A version of the session API; a front serves the current and the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Version {
+pub enum SessionApiVersion {
     /// The previous version, which is the default for a client that offers none.
     V1,
     /// The current version. It adds the zone that serves a session, and the rejection by a cross-zone budget.
     V2,
 }
 
-impl Version {
+impl SessionApiVersion {
     /// All served versions, the current one first.
-    pub const SERVED: [Version; 2] = [Version::V2, Version::V1];
+    pub const SERVED: [SessionApiVersion; 2] = [SessionApiVersion::V2, SessionApiVersion::V1];
 
     /// The name of the WebSocket subprotocol for this version.
     #[must_use]
     pub fn subprotocol(self) -> &'static str {
         match self {
-            Version::V1 => "session.v1.jsonrpc",
-            Version::V2 => "session.v2.jsonrpc",
+            SessionApiVersion::V1 => "session.v1.jsonrpc",
+            SessionApiVersion::V2 => "session.v2.jsonrpc",
         }
     }
 
     /// The first served version among the subprotocols that a client offers, which are in the client's order of
     /// preference (RFC 6455, section 1.9). `None` if none of them is served.
-    pub fn negotiate<'a>(mut offers: impl Iterator<Item = &'a str>) -> Option<Version> {
+    pub fn negotiate<'a>(mut offers: impl Iterator<Item = &'a str>) -> Option<SessionApiVersion> {
         offers.find_map(|offer| {
-            Version::SERVED
+            SessionApiVersion::SERVED
                 .into_iter()
                 .find(|version| version.subprotocol() == offer.trim())
         })
--- a/crates/testbed/src/player/client.rs
+++ b/crates/testbed/src/player/client.rs
@@ -4,7 +4,7 @@
 use crankpaddle_net::exchange::HttpExchange;
 use crankpaddle_net::{clock, CloseReason, IdleSweeper, Socket, WriteBuffer};
 use crankpaddle_session_api::client::{self, ClientEvent};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use crankpaddle_time::Time;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
@@ -71,7 +71,10 @@
             ("connection", "Upgrade"),
             ("sec-websocket-version", "13"),
             ("sec-websocket-key", &key),
-            ("sec-websocket-protocol", Version::V2.subprotocol()),
+            (
+                "sec-websocket-protocol",
+                SessionApiVersion::V2.subprotocol(),
+            ),
         ];
         let request = head::request("GET", "/session", &address.to_string(), &fields, b"");
         socket.write_all(&request).map_err(|error| error.source)?;
