--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -2,13 +2,13 @@
 use super::ladder::LadderSettings;
 use super::ConfigChecker;
 use crate::schema;
-use crankpaddle::{Class, Idempotency, RetryScope};
+use crankpaddle::{Idempotency, RetryScope, SessionClass};
 use std::time::Duration;
 
 /// The classes, indexed by class number.
 pub(super) struct Classes {
     pub(super) names: Vec<String>,
-    pub(super) classes: Vec<Class>,
+    pub(super) classes: Vec<SessionClass>,
     /// Maximum time that a viewer of each class waits for an answer.
     pub(super) max_wait: Vec<Duration>,
 }
@@ -32,13 +32,13 @@
         }
     }
 
-    fn class(&mut self, index: usize, class: &schema::Class, rungs: u32) -> Class {
+    fn class(&mut self, index: usize, class: &schema::Class, rungs: u32) -> SessionClass {
         let path = |field: &str| format!("class[{index}].{field}");
         let (idempotency, retry_window) = self.idempotency(index, class);
         let latency_objective = self.time(&path("aim"), class.aim());
         let max_rung = self.count(&path("top"), class.top.unwrap_or(rungs - 1), 0, rungs - 1);
         let min_rung = self.count(&path("floor"), class.floor, 0, max_rung);
-        Class {
+        SessionClass {
             latency_objective,
             idempotency,
             retry_window,
--- a/crates/config/src/check/settings.rs
+++ b/crates/config/src/check/settings.rs
@@ -3,13 +3,13 @@
 use super::front::Replica;
 use super::ladder::LadderSettings;
 use super::rules::RuleSettings;
-use crankpaddle::{Class, Settings};
+use crankpaddle::{SessionClass, Settings};
 
 /// The checked values that go into the settings.
 pub(super) struct SettingsParts {
     pub(super) replica: Replica,
     pub(super) zone: usize,
-    pub(super) classes: Vec<Class>,
+    pub(super) classes: Vec<SessionClass>,
     pub(super) fleet: FleetSettings,
     pub(super) ladder: LadderSettings,
     pub(super) tenant_quota: Vec<f64>,
@@ -25,7 +25,7 @@
         ..
     } = parts;
     Settings {
-        front_index: replica.index,
+        replica_index: replica.index,
         replica_count: replica.count,
         zone: parts.zone as u8,
         classes: parts.classes,
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -25,7 +25,7 @@
     pub controller: TrafficController,
     names: TrafficNames,
     /// This front's index in the fleet.
-    front_index: u32,
+    replica_index: u32,
     /// The number of this front's zone.
     zone: u8,
     /// The number of each title's group, by the title's number.
@@ -46,13 +46,13 @@
 fn traffic_config(config: &Config) -> TrafficConfig {
     let settings = &config.settings;
     let rungs = settings.rung_kb.iter();
-    let class = |class: &crankpaddle::Class| TrafficClass {
+    let class = |class: &crankpaddle::SessionClass| TrafficClass {
         is_paid: class.idempotency == Idempotency::AtMostOnce,
         rung_rates_kb: rungs.clone().map(|kb| kb * class.rate_factor).collect(),
     };
     TrafficConfig {
         position: FrontPosition {
-            index: settings.front_index,
+            index: settings.replica_index,
             replica_count: settings.replica_count,
         },
         zone: settings.zone,
@@ -97,7 +97,7 @@
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         text => text.map_err(SavedFileError::from),
     };
-    let report = text.and_then(|text| parse_report(&text, config.settings.front_index));
+    let report = text.and_then(|text| parse_report(&text, config.settings.replica_index));
     report.map(Some).map_err(|source| StartError::SavedFile {
         path: path.clone(),
         source,
@@ -126,7 +126,7 @@
         TrafficAccounting {
             controller,
             names,
-            front_index: config.settings.front_index,
+            replica_index: config.settings.replica_index,
             zone: config.settings.zone,
             groups_by_title: titles.map(|title| (title.number, title.group)).collect(),
             is_settling: false,
@@ -216,7 +216,7 @@
     pub(crate) fn report(&mut self) -> String {
         let report = TrafficReport::of(
             &mut self.controller,
-            self.front_index,
+            self.replica_index,
             self.zone,
             &self.names,
             clock::now(),
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -32,7 +32,8 @@
 use crate::recovery_queue::RecoveryQueue;
 use crate::timers::{TimerEntry, Timers};
 use crankpaddle::{
-    Action, Class, Event, Idempotency, PlacementPolicy, RequestId, ServerEstimate, Settings, Time,
+    Action, Event, Idempotency, PlacementPolicy, RequestId, ServerEstimate, SessionClass, Settings,
+    Time,
 };
 use crankpaddle_recovery::{ConservativeBound, StagedRecovery};
 use request::{Player, Request, SessionKey};
@@ -224,7 +225,7 @@
     }
 
     /// The settings of a class; `None` if it is not configured.
-    fn class_settings(&self, class: u8) -> Option<&Class> {
+    fn class_settings(&self, class: u8) -> Option<&SessionClass> {
         self.settings.classes.get(usize::from(class))
     }
 
--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Settings, classes and units of time that the tests of the core share.
-use crankpaddle::{Class, Idempotency};
+use crankpaddle::{Idempotency, SessionClass};
 use crankpaddle_front::Settings;
 
 /// In nanoseconds.
@@ -12,7 +12,7 @@
 pub(crate) const PAID: u8 = 1;
 
 pub(crate) fn settings() -> Settings {
-    let class = |idempotency, priority_weight| Class {
+    let class = |idempotency, priority_weight| SessionClass {
         latency_objective: 800 * MILLISECOND,
         idempotency,
         retry_window: 0,
--- a/crates/node-protocol/src/config.rs
+++ b/crates/node-protocol/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration with which a front node is started.
 use crate::directory::{Entry, List, State};
-use crankpaddle_settings::Fleet;
+use crankpaddle_settings::FleetSettings;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     /// The list of servers with which the node starts.
     pub known: List,
     /// The settings of the fleet.
-    pub fleet: Fleet,
+    pub fleet: FleetSettings,
 }
 
 /// The resources that a node may use.
@@ -156,7 +156,7 @@
     pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         let raw: RawConfig = serde_json::from_slice(text)?;
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(ConfigError::Seed)?;
-        let fleet = crankpaddle_settings::parse(raw.settings.get().as_bytes())
+        let fleet = crankpaddle_settings::parse_settings(raw.settings.get().as_bytes())
             .map_err(|error| ConfigError::Settings(error.into()))?;
         if fleet.classes.iter().any(String::is_empty) || fleet.deadlines.contains(&0) {
             return Err(ConfigError::Class);
--- a/crates/node/tests/events.rs
+++ b/crates/node/tests/events.rs
@@ -2,7 +2,7 @@
 mod support;
 use crankpaddle::{EndpointListKind, Event, LoadField, RequestId};
 use crankpaddle_node_protocol::rtsp;
-use crankpaddle_simhost::wire::{name_report, Batch, Record};
+use crankpaddle_simhost::wire::{attach_report_values, Batch, Record};
 use std::collections::BTreeMap;
 use std::sync::mpsc::{channel, Receiver};
 use support::*;
@@ -195,7 +195,7 @@
             Record::Reported {
                 mut event, values, ..
             } => {
-                name_report(&mut event, &values, &[LoadField::LinkDemand]);
+                attach_report_values(&mut event, &values, &[LoadField::LinkDemand]);
                 event
             }
             Record::Spawn { .. } | Record::Stop { .. } => continue,
--- a/crates/policy/src/interface/mod.rs
+++ b/crates/policy/src/interface/mod.rs
@@ -13,4 +13,4 @@
 pub use event::{AttemptOutcome, Event, SessionRequest, SessionUpdate};
 pub use ids::{RequestId, ServerId};
 pub use load_report::{LoadField, LoadReport, ServerEstimate};
-pub use settings::{Class, Idempotency, RetryScope, Settings};
+pub use settings::{Idempotency, RetryScope, SessionClass, Settings};
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -6,7 +6,7 @@
     /// An attempt may be repeated, and the request rejected, at any time.
     Idempotent,
     /// Once an attempt may have been executed, it may be repeated only in this scope and within
-    /// [`Class::retry_window`].
+    /// [`SessionClass::retry_window`].
     IdempotentWithin(RetryScope),
     /// An attempt may be repeated, or the request rejected, only if no earlier attempt can have been executed.
     AtMostOnce,
@@ -25,7 +25,7 @@
 
 /// A class of sessions.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct SessionClass {
     /// Target for the duration of a set-up, nanoseconds.
     pub latency_objective: u64,
     /// Whether an attempt may be repeated.
@@ -51,13 +51,13 @@
 #[expect(clippy::struct_excessive_bools, reason = "independent permissions of a fleet")]
 pub struct Settings {
     /// Number of this replica, counted from 0.
-    pub front_index: u32,
+    pub replica_index: u32,
     /// Number of replicas, including this one.
     pub replica_count: u32,
     /// Number of the zone of this replica.
     pub zone: u8,
     /// Classes of sessions; requests refer to them by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<SessionClass>,
     /// Rates of the rungs, lowest first, kB per second.
     pub rung_kb: Vec<f64>,
     /// Utility of each rung, lowest first; at most 1.
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -1,5 +1,5 @@
 //! Invariants of attempts. They bound what may be sent, when and where, whatever server was selected.
-use crate::interface::{Class, Idempotency, Lifecycle, RequestId, RetryScope, SessionRequest, Time};
+use crate::interface::{Idempotency, Lifecycle, RequestId, RetryScope, SessionClass, SessionRequest, Time};
 use crate::outliers::open_slot;
 use crate::state::{PlacementPolicy, ServerRecord, SessionRecord, SessionState, TimeArithmetic};
 
@@ -35,7 +35,7 @@
     }
 
     /// Whether the limit on concurrent sessions of a title allows another one.
-    fn title_limit_allows(&self, class: &Class, request: &SessionRequest) -> bool {
+    fn title_limit_allows(&self, class: &SessionClass, request: &SessionRequest) -> bool {
         let limit = class.max_sessions_per_title as usize;
         limit == 0 || self.sessions_of_title(request.class, request.title) < limit
     }
@@ -60,7 +60,7 @@
 }
 
 /// Whether another attempt is safe: no earlier one can have been executed, or the class allows a repetition.
-fn may_execute_again(now: Time, class: &Class, session: &SessionRecord) -> bool {
+fn may_execute_again(now: Time, class: &SessionClass, session: &SessionRecord) -> bool {
     let Some(execution) = session.possible_execution else { return true };
     match class.idempotency {
         Idempotency::Idempotent => true,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -31,7 +31,7 @@
 //! use crankpaddle::*;
 //! let settings = Settings {
 //!     replica_count: 1,
-//!     classes: vec![Class { latency_objective: 1_000_000_000, idempotency: Idempotency::Idempotent, retry_window: 0, priority_weight: 1.0, min_rung: 0,
+//!     classes: vec![SessionClass { latency_objective: 1_000_000_000, idempotency: Idempotency::Idempotent, retry_window: 0, priority_weight: 1.0, min_rung: 0,
 //!         max_rung: 2, rate_factor: 1.0, max_sessions_per_title: 0, live: false }],
 //!     rung_kb: vec![200.0, 500.0, 1500.0],
 //!     rung_utility: vec![0.2, 0.6, 1.0],
--- a/crates/policy/src/outliers.rs
+++ b/crates/policy/src/outliers.rs
@@ -88,7 +88,7 @@
 pub(crate) fn open_slot(settings: &Settings, server: &ServerRecord, id: ServerId, now: Time) -> Option<Time> {
     let replicas = u64::from(settings.replica_count.max(1));
     let interval = slow_start_interval(settings, server).max(1);
-    let position = (u64::from(settings.front_index) + u64::from(id.0)) % replicas;
+    let position = (u64::from(settings.replica_index) + u64::from(id.0)) % replicas;
     let first_offset = (interval as f64 * (position as f64 + 0.5) / replicas as f64) as u64;
     let slot_age = now.since(server.endpoint.started_at).checked_sub(first_offset)? % interval;
     (slot_age <= settings.overload_window).then(|| Time(now.0 - slot_age))
--- a/crates/policy/src/state/controller.rs
+++ b/crates/policy/src/state/controller.rs
@@ -1,6 +1,6 @@
 //! The state of a [`PlacementPolicy`] and its accessors. The events that change it are handled in `policy.rs`.
 use crate::interface::{
-    Class, CrossZonePolicy, RequestId, ServerEstimate, ServerId, SessionRequest, Settings, Time,
+    CrossZonePolicy, RequestId, ServerEstimate, ServerId, SessionClass, SessionRequest, Settings, Time,
 };
 use crate::policy::{
     ARRIVAL_WINDOW_SECONDS, INITIAL_COMPLETED, INITIAL_SESSION_SECONDS, INITIAL_SETUP_TIME_NS,
@@ -111,7 +111,7 @@
     }
 
     /// The class with this number, if there is one.
-    pub(crate) fn class(&self, class: u8) -> Option<&Class> {
+    pub(crate) fn class(&self, class: u8) -> Option<&SessionClass> {
         self.settings.classes.get(usize::from(class))
     }
 
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) const ZONE_IDEMPOTENT: u8 = 2;
 
 pub(crate) fn settings() -> Settings {
-    let class = |idempotency, min_rung, max_rung, rate_factor, max_sessions_per_title| Class {
+    let class = |idempotency, min_rung, max_rung, rate_factor, max_sessions_per_title| SessionClass {
         latency_objective: 800 * MS,
         idempotency,
         retry_window: 2 * SECOND,
@@ -21,7 +21,7 @@
         live: false,
     };
     Settings {
-        front_index: 0,
+        replica_index: 0,
         replica_count: 2,
         zone: 0,
         classes: vec![
--- a/crates/policy/tests/many_replicas.rs
+++ b/crates/policy/tests/many_replicas.rs
@@ -10,7 +10,7 @@
 /// `count` replicas that know server 1 only, with settings adapted by `change`.
 fn replicas(count: u32, change: impl Fn(&mut Settings)) -> Vec<Driver> {
     let new_replica = |index| {
-        let mut settings = Settings { front_index: index, replica_count: count, ..settings() };
+        let mut settings = Settings { replica_index: index, replica_count: count, ..settings() };
         change(&mut settings);
         let policy = PlacementPolicy::new(settings, u64::from(index) + 1, START);
         let mut driver = Driver { policy, now: START };
@@ -265,7 +265,7 @@
 #[test]
 fn unusual_settings_and_late_timers_cause_no_panic_and_leave_no_request_unanswered() {
     let no_rungs = Settings { rung_kb: vec![], rung_utility: vec![], racks: 0, cells: 0, ..settings() };
-    let many_replicas = Settings { replica_count: 10_000, front_index: 9_999, ..settings() };
+    let many_replicas = Settings { replica_count: 10_000, replica_index: 9_999, ..settings() };
     let many_racks = Settings { racks: 500, update_interval: 0, update_delay: 0, ..settings() };
     let no_replicas = Settings {
         replica_count: 0,
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -191,7 +191,7 @@
 }
 
 fn driver(settings: &Settings, index: usize, now: u64, seed: u64) -> Driver {
-    let settings = Settings { front_index: index as u32, ..settings.clone() };
+    let settings = Settings { replica_index: index as u32, ..settings.clone() };
     let mut driver = Driver { policy: PlacementPolicy::new(settings, seed, Time(now)), now: Time(now) };
     driver.send(endpoint_list(None));
     driver
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -3,7 +3,7 @@
 //! (`expected struct Rules with 8 elements`).
 //!
 //! Durations are in nanoseconds and rates in kB per second. The fields are documented at
-//! [`Settings`](crankpaddle::Settings), [`Class`](crankpaddle::Class) and [`Fleet`](super::Fleet).
+//! [`Settings`](crankpaddle::Settings), [`SessionClass`](crankpaddle::SessionClass) and [`FleetSettings`](super::FleetSettings).
 use serde::Deserialize;
 
 /// The top level of the settings document; its sections have types of their own.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,13 +6,13 @@
 mod error;
 pub use error::SettingsError;
 
-use crankpaddle::{Class, Idempotency, LoadField, RetryScope, Settings};
+use crankpaddle::{Idempotency, LoadField, RetryScope, SessionClass, Settings};
 use document::{Facts, Family, Limits, Scope, Semantics, Service};
 
 /// The settings of the policy, with the names of the classes, tenants, zones and kinds of servers that it knows only by
 /// index.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// Settings of the policy.
     pub settings: Settings,
     /// Names and meanings of the fields of a load report, in the order in which the simulator sends their values.
@@ -36,10 +36,10 @@
 /// # Errors
 /// Fails if the text is not valid JSON, if something that the policy needs is missing, or if values contradict each
 /// other.
-pub fn parse(text: &[u8]) -> Result<Fleet, SettingsError> {
+pub fn parse_settings(text: &[u8]) -> Result<FleetSettings, SettingsError> {
     let document: Facts = serde_json::from_slice(text)?;
     validate(&document)?;
-    Ok(Fleet {
+    Ok(FleetSettings {
         fields: report_fields(&document.telemetry.fields),
         classes: document
             .classes
@@ -105,15 +105,15 @@
 }
 
 /// Builds the classes of sessions. [`validate`] has made sure that the lists in `fleet` have an entry for each of them.
-fn classes(fleet: &Family, services: &[Service]) -> Vec<Class> {
+fn classes(fleet: &Family, services: &[Service]) -> Vec<SessionClass> {
     let services = services.iter().enumerate();
     services
         .map(|(index, service)| class(fleet, index, service))
         .collect()
 }
 
-fn class(fleet: &Family, index: usize, class: &Service) -> Class {
-    Class {
+fn class(fleet: &Family, index: usize, class: &Service) -> SessionClass {
+    SessionClass {
         latency_objective: class.latency_objective,
         idempotency: idempotency(class),
         retry_window: class.retry_window,
@@ -156,7 +156,7 @@
     let tenant_quota = tenants.map(|tenant| tenant.quota_per_second).collect();
     let has_retry_budget = rules.retry_budget_min.is_some() || rules.retry_budget_ratio.is_some();
     Settings {
-        front_index: document.replica_index,
+        replica_index: document.replica_index,
         replica_count: document.replica_count,
         zone: document.zone,
         classes,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -78,7 +78,7 @@
         seed: u64,
         settings: &[u8],
     ) -> Result<(), HostError> {
-        let fleet = crankpaddle_settings::parse(settings)?;
+        let fleet = crankpaddle_settings::parse_settings(settings)?;
         let report_fields = fleet.fields.into_iter().map(|(_, field)| field).collect();
         let settings = fleet.settings;
         let Ok(policy) = catch_unwind(|| PlacementPolicy::new(settings, seed, now)) else {
@@ -114,7 +114,7 @@
             .instances
             .get_mut(&id)
             .ok_or(HostError::UnknownInstance(id))?;
-        wire::name_report(&mut event, values, &instance.report_fields);
+        wire::attach_report_values(&mut event, values, &instance.report_fields);
         self.actions.clear();
         let handled = catch_unwind(AssertUnwindSafe(|| {
             instance.policy.handle(now, event, &mut self.actions);
--- a/crates/simhost/src/wire/mod.rs
+++ b/crates/simhost/src/wire/mod.rs
@@ -79,7 +79,7 @@
     Reported {
         /// Number of the instance.
         instance: u32,
-        /// The event, with an empty report; see [`name_report`].
+        /// The event, with an empty report; see [`attach_report_values`].
         event: Event,
         /// Values of the report, in the order of the fields in the settings.
         values: Vec<f64>,
@@ -188,7 +188,7 @@
 }
 
 /// Fills the load report of an event: pairs its values with the fields that the settings of the instance list.
-pub fn name_report(event: &mut Event, values: &[f64], fields: &[LoadField]) {
+pub fn attach_report_values(event: &mut Event, values: &[f64], fields: &[LoadField]) {
     if let Event::AttemptEnded { report, .. } | Event::HealthCheckCompleted { report, .. } = event {
         *report = fields.iter().copied().zip(values.iter().copied()).collect();
     }
--- a/crates/testbed/src/invariant_checker/rules.rs
+++ b/crates/testbed/src/invariant_checker/rules.rs
@@ -53,7 +53,7 @@
     /// The limits of a configuration. The drain grace is a parameter because a front's configuration has no such setting.
     pub fn of(config: &Config, drain_grace: Duration, tolerance: Duration) -> Rules {
         let settings = &config.settings;
-        let class_limits = |(name, class): (&String, &crankpaddle::Class)| ClassLimits {
+        let class_limits = |(name, class): (&String, &crankpaddle::SessionClass)| ClassLimits {
             name: name.clone(),
             paid: class.idempotency == Idempotency::AtMostOnce,
             lowest_rung: class.min_rung,
