--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -2,7 +2,7 @@
 use crate::failure::CommandFailure;
 use crate::{lifecycle, logging};
 use crankpaddle_node::Node;
-use crankpaddle_node_protocol::config::{Config, ConfigError, Mismatch};
+use crankpaddle_node_protocol::config::{Config, ConfigError, ReloadError};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     Parse { path: PathBuf, source: ConfigError },
     /// The file changes a setting that needs a restart.
     #[error("{}: {source}", path.display())]
-    Mismatch { path: PathBuf, source: Mismatch },
+    Mismatch { path: PathBuf, source: ReloadError },
 }
 
 fn load(path: &Path) -> Result<Config, ConfigFileError> {
--- a/crates/node-protocol/src/config.rs
+++ b/crates/node-protocol/src/config.rs
@@ -1,5 +1,5 @@
 //! The configuration with which a front node is started.
-use crate::directory::{Entry, List, State};
+use crate::directory::{ServerEntry, ServerList, ServerState};
 use crankpaddle_settings::FleetSettings;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -21,7 +21,7 @@
     /// The address of the directory.
     pub nameserver: SocketAddr,
     /// The list of servers with which the node starts.
-    pub known: List,
+    pub initial_list: ServerList,
     /// The settings of the fleet.
     pub fleet: FleetSettings,
 }
@@ -112,7 +112,7 @@
 
 /// Why a running node can't replace its configuration with another one.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Mismatch {
+pub enum ReloadError {
     /// The name is that of another node.
     #[error(
         "name: the file is that of another node; restore this node's file and send SIGHUP again"
@@ -136,15 +136,15 @@
     ///
     /// # Errors
     /// Which of the fixed fields differs.
-    pub fn check_reload(&self, next: &Config) -> Result<(), Mismatch> {
+    pub fn check_reload(&self, next: &Config) -> Result<(), ReloadError> {
         if self.name != next.name {
-            return Err(Mismatch::Name);
+            return Err(ReloadError::Name);
         }
         if self.listen != next.listen {
-            return Err(Mismatch::Listen);
+            return Err(ReloadError::Listen);
         }
         if self.fleet != next.fleet {
-            return Err(Mismatch::Settings);
+            return Err(ReloadError::Settings);
         }
         Ok(())
     }
@@ -167,15 +167,15 @@
             seed,
             limits: raw.limits,
             nameserver: raw.nameserver,
-            known: initial_list(raw.known),
+            initial_list: initial_list(raw.known),
             fleet,
         })
     }
 }
 
 /// The list of servers after all events. An event with `reset` holds the complete list, and any other event holds changes.
-fn initial_list(known: RawKnown) -> List {
-    let mut entries: Vec<Entry> = Vec::new();
+fn initial_list(known: RawKnown) -> ServerList {
+    let mut entries: Vec<ServerEntry> = Vec::new();
     for event in known.results {
         if event.fleet.reset {
             entries.clear();
@@ -185,20 +185,20 @@
             entries.extend(entry(instance));
         }
     }
-    List {
+    ServerList {
         serial: known.seq,
         entries,
     }
 }
 
 /// The list entry for a server of an event; `None` if the event removes the server.
-fn entry(instance: RawInstance) -> Option<Entry> {
+fn entry(instance: RawInstance) -> Option<ServerEntry> {
     let state = match instance.lifecycle {
-        RawLifecycle::Ready => State::Ready,
-        RawLifecycle::Draining => State::Draining,
+        RawLifecycle::Ready => ServerState::Ready,
+        RawLifecycle::Draining => ServerState::Draining,
         RawLifecycle::Gone => return None,
     };
-    Some(Entry {
+    Some(ServerEntry {
         name: instance.instance_id,
         address: instance.host_port,
         zone: instance.zone,
--- a/crates/node-protocol/src/directory.rs
+++ b/crates/node-protocol/src/directory.rs
@@ -19,7 +19,7 @@
 
 /// The state of a listed server. A server that was removed is not listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ServerState {
     /// The server accepts new sessions.
     Ready,
     /// The server completes its sessions and should get no new ones.
@@ -28,7 +28,7 @@
 
 /// A server in the directory's list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ServerEntry {
     /// The server's id, which is the first label of its host name.
     pub name: String,
     /// The address on which the server accepts connections of front nodes.
@@ -40,7 +40,7 @@
     /// The number of the server's cell.
     pub cell: u16,
     /// Whether the server is ready or draining.
-    pub state: State,
+    pub state: ServerState,
     /// The server's capacity relative to other servers.
     pub weight: f64,
     /// When the server started, in milliseconds of Unix time; 0 if it started long ago.
@@ -49,17 +49,17 @@
 
 /// A complete list of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct List {
-    /// The version of the list, which wraps around; see [`List::is_older_than`].
+pub struct ServerList {
+    /// The version of the list, which wraps around; see [`ServerList::is_older_than`].
     pub serial: u32,
     /// All servers that are ready or draining. A server that is missing was removed.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ServerEntry>,
 }
 
-impl List {
+impl ServerList {
     /// Whether this list's serial is lower than the other's in serial number arithmetic (RFC 1982), as serials wrap around.
     #[must_use]
-    pub fn is_older_than(&self, other: &List) -> bool {
+    pub fn is_older_than(&self, other: &ServerList) -> bool {
         let ahead = other.serial.wrapping_sub(self.serial);
         (1..1 << 31).contains(&ahead)
     }
@@ -118,7 +118,7 @@
 ///
 /// # Errors
 /// The response can't be used; the list in use should stay in use.
-pub fn parse_response(id: u16, bytes: &[u8]) -> Result<List, ResponseError> {
+pub fn parse_response(id: u16, bytes: &[u8]) -> Result<ServerList, ResponseError> {
     let message = Message::from_vec(bytes).map_err(malformed)?;
     check_header(id, &message)?;
     let serial = serial(&message).ok_or(ResponseError::NoSerial)?;
@@ -128,7 +128,7 @@
         .iter()
         .map(|service| records.entry(service))
         .collect::<Result<_, ResponseError>>()?;
-    Ok(List { serial, entries })
+    Ok(ServerList { serial, entries })
 }
 
 fn check_header(id: u16, message: &Message) -> Result<(), ResponseError> {
@@ -188,7 +188,7 @@
 
     /// The server that an SRV record lists. The first two labels of its host name are the server's id and zone; the text record
     /// of the host has the other fields.
-    fn entry(&self, service: &SRV) -> Result<Entry, ResponseError> {
+    fn entry(&self, service: &SRV) -> Result<ServerEntry, ResponseError> {
         let host = service.target.to_lowercase();
         let mut labels = host.iter().map(lossy);
         let name = labels.next().unwrap_or_default();
@@ -196,16 +196,16 @@
         let Some(fields) = self.host_fields(&host) else {
             return Err(ResponseError::Server(name));
         };
-        Ok(Entry {
+        Ok(ServerEntry {
             name,
             address: SocketAddr::new(fields.address, service.port),
             zone,
             kind: fields.kind,
             cell: fields.cell,
             state: if service.priority == READY_PRIORITY {
-                State::Ready
+                ServerState::Ready
             } else {
-                State::Draining
+                ServerState::Draining
             },
             weight: f64::from(service.weight) / WEIGHT_SCALE,
             started_ms: fields.started_ms,
--- a/crates/node-protocol/src/rtsp/encode.rs
+++ b/crates/node-protocol/src/rtsp/encode.rs
@@ -5,7 +5,7 @@
 
 /// A set-up request to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct SetUp<'a> {
+pub struct ServerSetUp<'a> {
     /// The id of the session.
     pub tag: Tag,
     /// The title, as the viewer sent it.
@@ -35,7 +35,7 @@
 
 /// Requests the set-up of a session.
 #[must_use]
-pub fn set_up(set_up: &SetUp<'_>) -> Vec<u8> {
+pub fn set_up(set_up: &ServerSetUp<'_>) -> Vec<u8> {
     let mut text = request("SETUP", set_up.title, cseq::SET_UP, set_up.tag);
     let _ = write!(
         text,
--- a/crates/node-protocol/src/rtsp/mod.rs
+++ b/crates/node-protocol/src/rtsp/mod.rs
@@ -5,7 +5,7 @@
 use crate::Tag;
 
 pub use decode::{DecodeError, Decoder};
-pub use encode::{acknowledge, cancel, health_check, release, set_rung, set_up, SetUp};
+pub use encode::{acknowledge, cancel, health_check, release, set_rung, set_up, ServerSetUp};
 
 /// Sequence numbers (`CSeq`), of which the protocol has one for each kind of request.
 pub mod cseq {
@@ -89,36 +89,36 @@
             .ok()
     }
 
-    /// The load report of the message, in a header such as `X-State: x0:0.4;x1:0.8`. Malformed figures are left out.
+    /// The load report of the message, in a header such as `X-State: x0:0.4;x1:0.8`. Malformed fields are left out.
     #[must_use]
-    pub fn load_report(&self) -> Vec<Figure<'_>> {
+    pub fn load_report(&self) -> Vec<ReportField<'_>> {
         let report = self.header("X-State").unwrap_or_default();
-        report.split(';').filter_map(Figure::parse).collect()
+        report.split(';').filter_map(ReportField::parse).collect()
     }
 
     /// The session update in the headers `X-Note` (the name) and `Figure` (the value); `None` if one is missing or malformed.
     #[must_use]
-    pub fn session_update(&self) -> Option<Figure<'_>> {
+    pub fn session_update(&self) -> Option<ReportField<'_>> {
         let value = finite(self.header("Figure")?)?;
         let name = self.header("X-Note")?.trim();
-        Some(Figure { name, value })
+        Some(ReportField { name, value })
     }
 }
 
-/// A figure that a server reports in a load report or a session update.
+/// A field that a server reports in a load report or a session update.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figure<'a> {
-    /// The name that the protocol or the settings give the figure.
+pub struct ReportField<'a> {
+    /// The name that the protocol or the settings give the field.
     pub name: &'a str,
     /// The value, which is finite.
     pub value: f64,
 }
 
-impl<'a> Figure<'a> {
+impl<'a> ReportField<'a> {
     /// Parses `name:value`; `None` if there is no colon or the value is not a finite number.
-    fn parse(text: &'a str) -> Option<Figure<'a>> {
+    fn parse(text: &'a str) -> Option<ReportField<'a>> {
         let (name, value) = text.split_once(':')?;
-        Some(Figure {
+        Some(ReportField {
             name: name.trim(),
             value: finite(value)?,
         })
--- a/crates/node-protocol/src/viewers/decode.rs
+++ b/crates/node-protocol/src/viewers/decode.rs
@@ -1,5 +1,5 @@
 //! Decodes the messages of viewers.
-use super::{Message, Opts, SetUp};
+use super::{Message, Opts, ViewerSetUp};
 use crate::{ReceiveBuffer, Tag, MAX_MESSAGE_BYTES};
 use serde::Deserialize;
 use serde_json::Value;
@@ -68,7 +68,7 @@
     let tag =
         Tag::parse(&line.tag).ok_or_else(|| invalid_message("the tag is not 16 hex digits"))?;
     match line.verb.as_str() {
-        "START" => Ok(Message::Start(SetUp {
+        "START" => Ok(Message::Start(ViewerSetUp {
             tag,
             opts: decode_opts(line.opts)?,
             blob: line.blob,
--- a/crates/node-protocol/src/viewers/mod.rs
+++ b/crates/node-protocol/src/viewers/mod.rs
@@ -19,7 +19,7 @@
     /// The set-up was rejected because no server has capacity.
     pub const NO_CAPACITY: u16 = 34;
     /// The session ended abnormally, or its set-up failed.
-    pub const CUT: u16 = 41;
+    pub const FAILED: u16 = 41;
     /// The set-up was rejected because the front node is overloaded.
     pub const CONGESTION: u16 = 42;
     /// The set-up has an invalid field, such as an unknown class or a number out of range.
@@ -28,10 +28,10 @@
 
 /// A set-up request of a viewer, with its fields unchecked.
 ///
-/// The fields are parsed separately, by [`SetUp::set_up_params`], so that a set-up with an invalid field still has a tag with
-/// which it can be rejected.
+/// The fields are parsed separately, by [`ViewerSetUp::set_up_params`], so that a set-up with an invalid field still has a tag
+/// with which it can be rejected.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SetUp {
+pub struct ViewerSetUp {
     /// The id of the requested session.
     pub tag: Tag,
     /// The fields of the request by name.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     /// The viewer requests a session.
-    Start(SetUp),
+    Start(ViewerSetUp),
     /// The viewer cancels its set-up or ends its session.
     Finish {
         /// The id of the session.
--- a/crates/node-protocol/src/viewers/set_up_params.rs
+++ b/crates/node-protocol/src/viewers/set_up_params.rs
@@ -1,5 +1,5 @@
 //! Parses and checks the fields of a set-up request.
-use super::SetUp;
+use super::ViewerSetUp;
 use crate::Tag;
 use thiserror::Error;
 
@@ -48,7 +48,7 @@
     pub current_server: Option<String>,
 }
 
-impl SetUp {
+impl ViewerSetUp {
     /// Parses and checks the fields of the request.
     ///
     /// # Errors
--- a/crates/node-protocol/tests/codecs.rs
+++ b/crates/node-protocol/tests/codecs.rs
@@ -1,5 +1,5 @@
 //! The codecs of viewer and server streams: complete messages, messages split at arbitrary places, garbage, and false lengths.
-use crankpaddle_node_protocol::rtsp::{self, Figure, Kind};
+use crankpaddle_node_protocol::rtsp::{self, Kind, ReportField};
 use crankpaddle_node_protocol::viewers::{self, InvalidField, Message};
 use crankpaddle_node_protocol::{Tag, MAX_MESSAGE_BYTES};
 use proptest::prelude::*;
@@ -218,7 +218,7 @@
 #[test]
 fn a_set_up_for_a_server_has_these_headers_and_the_body() {
     let blob = "9d41\r\nc=IN IP4 10.4.7.9\r\n";
-    let bytes = rtsp::set_up(&rtsp::SetUp {
+    let bytes = rtsp::set_up(&rtsp::ServerSetUp {
         tag: tag(0xab),
         title: "7f3a9c21e0b4d655",
         class: "paid",
@@ -239,7 +239,7 @@
     assert!(text(rtsp::set_rung(tag(1), 2)).contains("\r\nRate-Step: 2\r\n"));
 }
 
-/// A server's response with a load report, of which one figure is malformed.
+/// A server's response with a load report, of which one field is malformed.
 fn response(tag_number: u64, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("RTSP/1.0 200 OK\r\ncseq: 1\r\nSession: {}\r\nX-State: x0:0.75; y:zz ;x1:1.5\r\ncontent-length: {length}\r\n\r\n{body}", tag(tag_number))
@@ -255,8 +255,8 @@
         (message.kind.clone(), message.cseq, message.session),
         (Kind::Response(200), Some(1), Some(tag(5)))
     );
-    let figures = [("x0", 0.75), ("x1", 1.5)].map(|(name, value)| Figure { name, value });
-    assert_eq!(message.load_report(), figures);
+    let fields = [("x0", 0.75), ("x1", 1.5)].map(|(name, value)| ReportField { name, value });
+    assert_eq!(message.load_report(), fields);
     assert_eq!(message.text(), Some("a\r\n\r\nb\u{e9}"));
 }
 
@@ -266,7 +266,10 @@
     let bytes = format!("{head}X-Note: link_use\r\nFigure: 0.925\r\nContent-Length: 0\r\n\r\n");
     let (messages, _) = decode_servers(bytes.as_bytes(), &[MAX_MESSAGE_BYTES]);
     let (name, value) = ("link_use", 0.925);
-    assert_eq!(messages[0].session_update(), Some(Figure { name, value }));
+    assert_eq!(
+        messages[0].session_update(),
+        Some(ReportField { name, value })
+    );
     let bytes = rtsp::release(tag(3), 41);
     assert_eq!(decode_servers(&bytes, &[1]).0[0].cause(), Some(41));
     assert_eq!(
@@ -366,7 +369,7 @@
         number in any::<u64>(), blob in ".{0,300}", class in "[a-z-]{1,20}", patience in any::<u64>(), rung in any::<u8>(),
     ) {
         let title = format!("{number:016x}");
-        let set_up = rtsp::SetUp { tag: tag(number), title: &title, class: &class, patience, rung, blob: &blob };
+        let set_up = rtsp::ServerSetUp { tag: tag(number), title: &title, class: &class, patience, rung, blob: &blob };
         let (messages, error) = decode_servers(&rtsp::set_up(&set_up), &[5]);
         prop_assert_eq!((messages.len(), error), (1, None));
         let message = &messages[0];
--- a/crates/node-protocol/tests/config.rs
+++ b/crates/node-protocol/tests/config.rs
@@ -1,6 +1,6 @@
 //! Parsing of the configuration: the list of servers at the start, and errors of one line.
 use crankpaddle_node_protocol::config::Config;
-use crankpaddle_node_protocol::directory::State;
+use crankpaddle_node_protocol::directory::ServerState;
 use serde_json::{json, Value};
 
 /// A complete configuration.
@@ -35,17 +35,17 @@
     );
     assert_eq!((config.limits.memory_mb, config.limits.sockets), (32, 256));
     let servers: Vec<_> = config
-        .known
+        .initial_list
         .entries
         .iter()
         .map(|entry| (entry.name.as_str(), entry.state))
         .collect();
-    assert_eq!(config.known.serial, 3);
+    assert_eq!(config.initial_list.serial, 3);
     assert_eq!(
         servers,
         [
-            ("s-00000001", State::Ready),
-            ("s-00000002", State::Draining)
+            ("s-00000001", ServerState::Ready),
+            ("s-00000002", ServerState::Draining)
         ]
     );
     assert_eq!(
--- a/crates/node-protocol/tests/directory.rs
+++ b/crates/node-protocol/tests/directory.rs
@@ -1,5 +1,5 @@
 //! Parsing of the directory's responses, which are encoded with hickory-proto and in some tests corrupted.
-use crankpaddle_node_protocol::directory::{parse_response, query, ResponseError, State};
+use crankpaddle_node_protocol::directory::{parse_response, query, ResponseError, ServerState};
 use hickory_proto::op::{Message, MessageType, OpCode, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -112,12 +112,12 @@
     );
     assert_eq!(
         (ready.address.to_string().as_str(), ready.cell, ready.state),
-        ("10.1.0.9:3868", 2, State::Ready)
+        ("10.1.0.9:3868", 2, ServerState::Ready)
     );
     assert_eq!((ready.weight, ready.started_ms), (4.0, 0));
     assert_eq!(
         (draining.weight, draining.started_ms, draining.state),
-        (1.5, 1_700_000_000_123, State::Draining)
+        (1.5, 1_700_000_000_123, ServerState::Draining)
     );
 }
 
--- a/crates/node-protocol/tests/wire_text.rs
+++ b/crates/node-protocol/tests/wire_text.rs
@@ -1,6 +1,6 @@
 //! The exact bytes that a front node sends to viewers, servers and the directory, and what each kind of message that they send
 //! decodes to. Names in the code may change, but the literals here may not, as they are the protocol.
-use crankpaddle_node_protocol::rtsp::{Figure, Kind};
+use crankpaddle_node_protocol::rtsp::{Kind, ReportField};
 use crankpaddle_node_protocol::viewers::Message;
 use crankpaddle_node_protocol::{directory, rtsp, viewers, Tag};
 
@@ -54,7 +54,7 @@
 #[test]
 fn messages_to_servers_have_these_bytes() {
     let table = [
-        ("set-up without body", rtsp::set_up(&rtsp::SetUp {
+        ("set-up without body", rtsp::set_up(&rtsp::ServerSetUp {
             tag: tag(), title: "7f3a9c21e0b4d655", class: "paid", patience: 0, rung: 0, blob: "",
         }), "SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0\r\nCSeq: 1\r\nSession: 00000000000000aB\r\nSubject: paid\r\nX-Patience: 0\r\nRate-Step: 0\r\nContent-Length: 0\r\n\r\n"),
         ("cancel", rtsp::cancel(tag()), "TEARDOWN rtsp://media/00000000000000aB RTSP/1.0\r\nCSeq: 2\r\nSession: 00000000000000aB\r\nContent-Length: 0\r\n\r\n"),
@@ -218,8 +218,8 @@
     }
 }
 
-fn figure(name: &str, value: f64) -> Figure<'_> {
-    Figure { name, value }
+fn report_field(name: &str, value: f64) -> ReportField<'_> {
+    ReportField { name, value }
 }
 
 #[test]
@@ -241,11 +241,11 @@
     );
     assert_eq!(
         (message.cause(), message.session_update()),
-        (Some(41), Some(figure("link_use", 0.5)))
+        (Some(41), Some(report_field("link_use", 0.5)))
     );
     assert_eq!(
         message.load_report(),
-        [figure("x0", 0.25), figure("x1", -1.0)]
+        [report_field("x0", 0.25), report_field("x1", -1.0)]
     );
     assert_eq!(message.body, b"abc");
 }
--- a/crates/node/src/directory_poller.rs
+++ b/crates/node/src/directory_poller.rs
@@ -1,7 +1,7 @@
 //! Polls the directory for its list of servers, on a thread of its own that may block.
 use crate::shared::{InboxMessage, Shared};
 use crankpaddle_node_protocol::directory::{
-    message_id, parse_response, query, List, MAX_RESPONSE_BYTES,
+    message_id, parse_response, query, ServerList, MAX_RESPONSE_BYTES,
 };
 use std::collections::VecDeque;
 use std::io;
@@ -44,7 +44,7 @@
         outstanding: VecDeque::new(),
     };
     let mut current = CurrentList {
-        list: shared.config.known.clone(),
+        list: shared.config.initial_list.clone(),
         stale_responses: 0,
     };
     while !stopped.load(Ordering::Acquire) {
@@ -62,7 +62,7 @@
 
 /// The last list that was passed to the event loop.
 struct CurrentList {
-    list: List,
+    list: ServerList,
     /// Number of consecutive responses that had a lower serial.
     stale_responses: u32,
 }
@@ -73,7 +73,7 @@
     /// An old response would list servers that have been removed. All directories of a fleet use the same serials, so a list
     /// with a lower serial is ignored, whichever directory sends it. The drawback: a directory that restarts its serials is
     /// ignored until the node restarts, which is logged.
-    fn update(&mut self, received: List) -> Option<List> {
+    fn update(&mut self, received: ServerList) -> Option<ServerList> {
         if received.is_older_than(&self.list) {
             self.count_stale_response(&received);
             return None;
@@ -86,7 +86,7 @@
         Some(received)
     }
 
-    fn count_stale_response(&mut self, received: &List) {
+    fn count_stale_response(&mut self, received: &ServerList) {
         self.stale_responses += 1;
         if self.stale_responses == STALE_RESPONSES_BEFORE_ERROR {
             tracing::error!(
@@ -155,7 +155,7 @@
     ///
     /// If only the latest query counted, no response of a directory that takes longer than the timeout would ever be used. A
     /// response may be as old as [`MAX_RESPONSE_AGE`], since a newer list has a higher serial and replaces it.
-    fn receive_list(&mut self) -> Option<List> {
+    fn receive_list(&mut self) -> Option<ServerList> {
         let deadline = Instant::now() + RESPONSE_TIMEOUT;
         let mut bytes = [0u8; MAX_RESPONSE_BYTES];
         loop {
@@ -180,7 +180,7 @@
         self.socket.recv(bytes)
     }
 
-    fn read_response(&mut self, bytes: &[u8]) -> Option<List> {
+    fn read_response(&mut self, bytes: &[u8]) -> Option<ServerList> {
         let position = message_id(bytes)
             .and_then(|id| self.outstanding.iter().position(|query| query.id == id));
         let Some(position) = position else {
--- a/crates/node/src/event_loop/attempt_dispatch.rs
+++ b/crates/node/src/event_loop/attempt_dispatch.rs
@@ -277,7 +277,7 @@
         let now = clock::now();
         let classes = &self.shared.config.fleet.classes;
         let class = classes.get(usize::from(session.class));
-        let message = rtsp::set_up(&rtsp::SetUp {
+        let message = rtsp::set_up(&rtsp::ServerSetUp {
             tag: attempt.session_id,
             title: &session.title,
             class: class.map_or("", String::as_str),
--- a/crates/node/src/event_loop/client_notifications.rs
+++ b/crates/node/src/event_loop/client_notifications.rs
@@ -44,7 +44,7 @@
                     retry_after.and_then(retry_after_ms),
                 );
             }
-            Answer::Failed(_) => self.send_finish(player, cause::CUT, None),
+            Answer::Failed(_) => self.send_finish(player, cause::FAILED, None),
             // Viewers of this node do not resume or close sessions by their key, so these answers do not occur.
             Answer::Superseded | Answer::Closed | Answer::UnknownSession => {}
         }
@@ -197,7 +197,7 @@
             reason: SessionEndReason::Finished,
             ..
         } => Some(viewers::finish(session_id, cause::NORMAL, None)),
-        Notification::SessionEnded { .. } => Some(viewers::finish(session_id, cause::CUT, None)),
+        Notification::SessionEnded { .. } => Some(viewers::finish(session_id, cause::FAILED, None)),
         Notification::Migrate => Some(viewers::moved(session_id)),
     }
 }
--- a/crates/node/src/event_loop/client_requests.rs
+++ b/crates/node/src/event_loop/client_requests.rs
@@ -36,7 +36,7 @@
     fn handle_set_up(
         &mut self,
         connection: ConnectionId,
-        set_up: &viewers::SetUp,
+        set_up: &viewers::ViewerSetUp,
         received_at: Time,
     ) {
         if self.is_closed_here(connection) {
@@ -86,7 +86,7 @@
     fn reject_invalid(
         &mut self,
         connection: ConnectionId,
-        set_up: &viewers::SetUp,
+        set_up: &viewers::ViewerSetUp,
         error: InvalidField,
     ) {
         tracing::debug!(session_id = %set_up.tag, field = error.0, opts = ?set_up.opts, "invalid set-up");
@@ -124,7 +124,7 @@
     fn open_session(
         &mut self,
         connection: ConnectionId,
-        set_up: &viewers::SetUp,
+        set_up: &viewers::ViewerSetUp,
         request: ValidSetUp,
         received_at: Time,
     ) {
@@ -172,7 +172,7 @@
     }
 
     /// Parses the fields of a set-up, and looks up the names of its class and its tenant in the settings.
-    fn validate_set_up(&self, set_up: &viewers::SetUp) -> Result<ValidSetUp, InvalidField> {
+    fn validate_set_up(&self, set_up: &viewers::ViewerSetUp) -> Result<ValidSetUp, InvalidField> {
         let params = set_up.set_up_params()?;
         let open = self.build_open_request(set_up.tag, &params)?;
         Ok(ValidSetUp { params, open })
--- a/crates/node/src/event_loop/core_driver.rs
+++ b/crates/node/src/event_loop/core_driver.rs
@@ -114,7 +114,7 @@
             Output::TearDown(attempt, server) => self.tear_down(attempt, server),
             Output::HealthCheck(server) => self.check_health(server),
             Output::SubscribeEndpoints | Output::FetchEndpoints => {} // The directory is polled in any case.
-            Output::Log(line) => tracing::info!(line, "message from the placement policy"),
+            Output::Log(line) => tracing::info!(line, "placement policy message"),
         }
     }
 
--- a/crates/node/src/event_loop/endpoint_list.rs
+++ b/crates/node/src/event_loop/endpoint_list.rs
@@ -5,7 +5,7 @@
 use crate::health::ServerHealth;
 use crankpaddle_front::{Endpoint, EndpointListKind, Input, Lifecycle, ServerId, Time};
 use crankpaddle_net::clock;
-use crankpaddle_node_protocol::directory::{Entry, List, State};
+use crankpaddle_node_protocol::directory::{ServerEntry, ServerList, ServerState};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -24,13 +24,13 @@
 
 /// An endpoint list, split into servers that fit the settings and those that do not.
 struct PartitionedList {
-    endpoints: BTreeMap<ServerId, Entry>,
+    endpoints: BTreeMap<ServerId, ServerEntry>,
     incompatible: Vec<IncompatibleServer>,
 }
 
 impl EventLoop {
     /// Applies an endpoint list and reports the changes to the core.
-    pub(super) fn update_endpoints(&mut self, list: List, kind: EndpointListKind) {
+    pub(super) fn update_endpoints(&mut self, list: ServerList, kind: EndpointListKind) {
         let now = clock::now();
         let PartitionedList {
             endpoints: listed,
@@ -58,7 +58,7 @@
         self.notify_of_changes(kind, changes);
     }
 
-    fn removed_endpoint(&self, id: ServerId, entry: &Entry) -> Option<Endpoint> {
+    fn removed_endpoint(&self, id: ServerId, entry: &ServerEntry) -> Option<Endpoint> {
         let endpoint = self.endpoint_from_entry(id, entry).ok()?;
         Some(Endpoint {
             lifecycle: Lifecycle::Removed,
@@ -87,8 +87,8 @@
         (entry.name == name).then_some(id)
     }
 
-    fn partition_list(&self, list: List) -> PartitionedList {
-        let mut endpoints: BTreeMap<ServerId, Entry> = BTreeMap::new();
+    fn partition_list(&self, list: ServerList) -> PartitionedList {
+        let mut endpoints: BTreeMap<ServerId, ServerEntry> = BTreeMap::new();
         let mut incompatible = Vec::new();
         for entry in list.entries {
             let id = server_id_from_name(&entry.name);
@@ -138,7 +138,7 @@
     fn endpoint_from_entry(
         &self,
         server: ServerId,
-        entry: &Entry,
+        entry: &ServerEntry,
     ) -> Result<Endpoint, UnknownValue> {
         let fleet = &self.shared.config.fleet;
         let zone = index_of(&fleet.zones, &entry.zone).ok_or(UnknownValue { field: "zone" })?;
@@ -152,8 +152,8 @@
             kind: kind as u16,
             cell: entry.cell,
             lifecycle: match entry.state {
-                State::Ready => Lifecycle::Ready,
-                State::Draining => Lifecycle::Draining,
+                ServerState::Ready => Lifecycle::Ready,
+                ServerState::Draining => Lifecycle::Draining,
             },
             weight: entry.weight,
             started_at: started_at(entry),
@@ -161,7 +161,13 @@
     }
 
     /// Adds or updates the record of a server in the endpoint list. `before` is its entry in the previous list.
-    fn server_listed(&mut self, id: ServerId, entry: &Entry, before: Option<&Entry>, now: Time) {
+    fn server_listed(
+        &mut self,
+        id: ServerId,
+        entry: &ServerEntry,
+        before: Option<&ServerEntry>,
+        now: Time,
+    ) {
         if let Some(before) = before {
             let has_moved = before.address != entry.address;
             if has_moved || before.started_ms < entry.started_ms {
@@ -225,7 +231,7 @@
 }
 
 /// When a server's incarnation started; the origin of the clock if the list has 0.
-fn started_at(entry: &Entry) -> Time {
+fn started_at(entry: &ServerEntry) -> Time {
     Time::ZERO + from_milliseconds(entry.started_ms)
 }
 
--- a/crates/node/src/event_loop/mod.rs
+++ b/crates/node/src/event_loop/mod.rs
@@ -42,7 +42,7 @@
     ServerId, Time,
 };
 use crankpaddle_net::{clock, drain_after_stall, drain_queue, recv_until};
-use crankpaddle_node_protocol::directory::Entry;
+use crankpaddle_node_protocol::directory::ServerEntry;
 use crankpaddle_node_protocol::viewers::cause;
 use crankpaddle_node_protocol::Tag;
 use crankpaddle_time::nanoseconds;
@@ -86,7 +86,7 @@
     servers: BTreeMap<ServerId, ServerRecord>,
     links: BTreeMap<LinkId, LinkRecord>,
     /// The endpoint list in force, without incompatible servers.
-    endpoints: BTreeMap<ServerId, Entry>,
+    endpoints: BTreeMap<ServerId, ServerEntry>,
     /// Servers of the last list received whose zone, kind or cell the settings do not name.
     incompatible_servers: Vec<IncompatibleServer>,
     /// Notifications to viewers that no connection accepted.
@@ -146,7 +146,7 @@
         if let Some(observer) = observer {
             core.set_event_observer(observer);
         }
-        let initial_list = config.known.clone();
+        let initial_list = config.initial_list.clone();
         let mut event_loop = EventLoop {
             core,
             connections: BTreeMap::new(),
--- a/crates/node/src/event_loop/server_links.rs
+++ b/crates/node/src/event_loop/server_links.rs
@@ -338,7 +338,7 @@
         self.complete_set_up(id, outcome, LoadReport::new());
         // The server may have accepted the set-up without its response being received. Without a release, the session would
         // play there without a viewer.
-        let release = ServerRelease::new(server, session_id, cause::CUT);
+        let release = ServerRelease::new(server, session_id, cause::FAILED);
         self.release_at_server(None, release);
     }
 }
--- a/crates/node/src/event_loop/server_messages.rs
+++ b/crates/node/src/event_loop/server_messages.rs
@@ -4,7 +4,7 @@
 use crate::shared::LinkId;
 use crankpaddle_front::{AttemptId, AttemptOutcome, Input, LoadReport, ServerId, SessionUpdate};
 use crankpaddle_net::clock;
-use crankpaddle_node_protocol::rtsp::{self, cseq, status, Figure, Kind};
+use crankpaddle_node_protocol::rtsp::{self, cseq, status, Kind, ReportField};
 use crankpaddle_node_protocol::viewers::cause;
 
 impl EventLoop {
@@ -125,9 +125,9 @@
 }
 
 /// Converts a server's update into the core's; `None` for a name that the protocol does not define.
-fn session_update(figure: Figure<'_>) -> Option<SessionUpdate> {
-    let value = figure.value;
-    Some(match figure.name {
+fn session_update(field: ReportField<'_>) -> Option<SessionUpdate> {
+    let value = field.value;
+    Some(match field.name {
         "served" => SessionUpdate::DeliveryRatio(value),
         "at_rung" => SessionUpdate::Rung(value.clamp(0.0, 255.0).round() as u8),
         "link_use" => SessionUpdate::LinkDemand(value),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -24,7 +24,7 @@
 
 use crankpaddle_front::EventObserver;
 use crankpaddle_net::{accept_while_capacity, listen, spawn, Stack};
-use crankpaddle_node_protocol::config::{Config, Mismatch};
+use crankpaddle_node_protocol::config::{Config, ReloadError};
 use event_loop::EventLoop;
 use shared::{InboxMessage, Shared};
 use std::io;
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// Something other than the directory's address differs; the configuration in force stays as it is.
-    pub fn reload(&self, config: &Config) -> Result<(), Mismatch> {
+    pub fn reload(&self, config: &Config) -> Result<(), ReloadError> {
         self.shared.config.check_reload(config)?;
         self.shared.set_nameserver(config.nameserver);
         Ok(())
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -6,7 +6,7 @@
 use crate::viewer_connection::{ConnectionId, ViewerConnection};
 use crankpaddle_net::{AcceptHandle, CloseReason, IdleSweeper, ReadEnd, WriteBuffer};
 use crankpaddle_node_protocol::config::Config;
-use crankpaddle_node_protocol::directory::List;
+use crankpaddle_node_protocol::directory::ServerList;
 use crankpaddle_node_protocol::{rtsp, viewers};
 use crankpaddle_time::Time;
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -52,7 +52,7 @@
     /// A connection to a server has ended.
     LinkClosed(LinkId, LinkEnd, DeliveryStatus),
     /// The directory has a new list.
-    EndpointList(List),
+    EndpointList(ServerList),
     /// Begin a graceful shutdown.
     Drain,
 }
--- a/crates/node/tests/other_deployments.rs
+++ b/crates/node/tests/other_deployments.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_file_of_another_node_or_with_other_settings_changes_nothing() {
-    use crankpaddle_node_protocol::config::Mismatch;
+    use crankpaddle_node_protocol::config::ReloadError;
     let _worker = lock_worker();
     let (here, there) = (Harness::start(1), other_deployment());
     let other = Directory::start(DirectoryState {
@@ -45,20 +45,20 @@
     foreign["nameserver"] = json!(other.address.to_string());
     assert_eq!(
         here.node.reload(&parse_config(&foreign)),
-        Err(Mismatch::Name)
+        Err(ReloadError::Name)
     );
-    assert_eq!(with(&|c| c["name"] = json!("n2")), Mismatch::Name);
+    assert_eq!(with(&|c| c["name"] = json!("n2")), ReloadError::Name);
     assert_eq!(
         with(&|c| c["listen"] = json!("127.0.0.1:9")),
-        Mismatch::Listen
+        ReloadError::Listen
     );
     assert_eq!(
         with(&|c| c["settings"]["services"][0]["worth"] = json!(2.0)),
-        Mismatch::Settings
+        ReloadError::Settings
     );
     assert_eq!(
         with(&|c| c["settings"] = there.config["settings"].clone()),
-        Mismatch::Settings
+        ReloadError::Settings
     );
     here.directory.wait_for_queries(3);
     assert_eq!(
