--- a/crates/benchmark/src/bench/load.rs
+++ b/crates/benchmark/src/bench/load.rs
@@ -106,7 +106,7 @@
             let (clients, address, running) = (self.clone(), process.address, running.clone());
             let (completed, failures, stop) =
                 (completed.clone(), all_failures.clone(), stop.clone());
-            spawn(Stack::Usual, move || {
+            spawn(Stack::Default, move || {
                 clients.run_closed_loop(&address, &stop, &completed, &failures);
                 running.done();
             });
@@ -176,7 +176,7 @@
             std::thread::sleep(scheduled_at.duration_since(clock::now()));
             running.add();
             let (run, running) = (run.clone(), running.clone());
-            spawn(Stack::Usual, move || {
+            spawn(Stack::Default, move || {
                 run.set_up(scheduled_at);
                 running.done();
             });
@@ -340,7 +340,7 @@
     for number in 0..count {
         running.add();
         let (run, opened) = (run.clone(), running.clone());
-        spawn(Stack::Usual, move || run.run(with_session, &opened));
+        spawn(Stack::Default, move || run.run(with_session, &opened));
         if (number + 1) % CONNECT_BATCH == 0 {
             running.wait(Duration::from_millis(1));
         }
--- a/crates/benchmark/src/relay.rs
+++ b/crates/benchmark/src/relay.rs
@@ -129,8 +129,11 @@
         let config = WebSocketConfig::default()
             .read_buffer_size(READ_BUFFER_BYTES)
             .write_buffer_size(0);
-        let mut context =
-            WebSocketContext::from_partially_read(exchange.into_rest(), Role::Server, Some(config));
+        let mut context = WebSocketContext::from_partially_read(
+            exchange.into_unread_bytes(),
+            Role::Server,
+            Some(config),
+        );
         loop {
             let read = context.read(&mut BufferedStream(&outbox))?;
             if let Message::Text(text) = read {
--- a/crates/cli/src/testbed/players.rs
+++ b/crates/cli/src/testbed/players.rs
@@ -64,7 +64,7 @@
         }];
         visit.watch = visit.watch.min(scenario.length - at);
         let players = players.clone();
-        spawn(Stack::Usual, move || players.visit(&visit, end));
+        spawn(Stack::Default, move || players.visit(&visit, end));
     }
 }
 
--- a/crates/daemon/src/attempt_sender.rs
+++ b/crates/daemon/src/attempt_sender.rs
@@ -65,7 +65,7 @@
 
 /// Sends an attempt; its result reaches the event loop as a message.
 pub(crate) fn send(shared: Arc<Shared>, attempt: AttemptId, request: SetUpRequest) {
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         let result = perform(&shared, &request);
         shared.send(EventLoopMessage::SetUpCompleted { attempt, result });
     });
@@ -92,9 +92,9 @@
     let (response, body) = match exchange.response(MAX_RESPONSE_BYTES) {
         Ok(answer) => answer,
         Err(ExchangeError::Closed | ExchangeError::Broken) => return ended(AttemptOutcome::Reset),
-        Err(ExchangeError::Bad(_)) => return ended(AttemptOutcome::ServerError),
+        Err(ExchangeError::Malformed(_)) => return ended(AttemptOutcome::ServerError),
     };
-    if request.handle.answered() && response.keeps_alive() && exchange.is_clean() {
+    if request.handle.answered() && response.keeps_alive() && exchange.is_buffer_empty() {
         let idle_timeout = shared.limits().pool_idle;
         shared.pool.put(request.address, socket, idle_timeout);
     }
--- a/crates/daemon/src/inventory_client.rs
+++ b/crates/daemon/src/inventory_client.rs
@@ -22,7 +22,7 @@
 
 /// Fetches a server's inventory and sends the event loop the result, also if that failed.
 pub(crate) fn request_inventory(shared: Arc<Shared>, server: ServerId, address: SocketAddr) {
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         let request = session_inventory::request(&address.to_string(), shared.names.front_name());
         let response = exchange(&shared, &address, &request);
         let inventory = response.and_then(|response| read_inventory(&response, server));
@@ -42,7 +42,7 @@
     address: SocketAddr,
     attempt_name: String,
 ) {
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         let request = sessions::tear_down(&address.to_string(), &attempt_name);
         let response = exchange(&shared, &address, &request);
         let is_confirmed = response.is_some_and(|response| (200..300).contains(&response.status));
--- a/crates/daemon/src/list_service_client.rs
+++ b/crates/daemon/src/list_service_client.rs
@@ -55,7 +55,7 @@
 
 /// Starts a coroutine that keeps a subscription to the list service until `is_stopped` is set.
 pub(crate) fn follow(shared: Arc<Shared>, is_stopped: Arc<AtomicBool>) {
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         let mut consecutive_failures = 0u32;
         while !is_stopped.load(Ordering::Acquire) {
             let result = subscribe(&shared);
@@ -83,7 +83,7 @@
         let event = match events.next() {
             Ok(event) => event,
             Err(error) => {
-                if let ExchangeError::Bad(reason) = error {
+                if let ExchangeError::Malformed(reason) = error {
                     tracing::warn!(%reason, "list service stream malformed");
                 }
                 return result;
--- a/crates/daemon/src/membership_runner.rs
+++ b/crates/daemon/src/membership_runner.rs
@@ -133,7 +133,7 @@
     pub(crate) fn run(self, on_fleet_size: impl Fn(u32) + Send + 'static) {
         let reader_socket = self.socket.clone();
         let commands = self.commands;
-        spawn(Stack::Usual, move || {
+        spawn(Stack::Default, move || {
             read_datagrams(&reader_socket, &commands);
         });
         let runner = MembershipRunner {
--- a/crates/daemon/src/player_listener.rs
+++ b/crates/daemon/src/player_listener.rs
@@ -22,7 +22,7 @@
 /// `is_stopped` is set.
 pub(crate) fn watch_idle_players(shared: Arc<Shared>, is_stopped: Arc<AtomicBool>) {
     let idle_timeout = shared.limits().idle;
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         while !is_stopped.load(Ordering::Acquire) {
             let now = clock::now();
             shared.visit_players(|player| player.enforce_idle_timeout(now, idle_timeout));
@@ -45,7 +45,7 @@
     loop {
         let request = match exchange.request(MAX_BODY_BYTES, Some(limits.handshake)) {
             Ok((request, _)) => request,
-            Err(ExchangeError::Bad(reason)) => {
+            Err(ExchangeError::Malformed(reason)) => {
                 let problem = Problem::new(reason.status(), reason.detail());
                 return send_last(&socket, &problem.response(&[CLOSE]));
             }
@@ -67,7 +67,7 @@
 fn upgrade(shared: &Arc<Shared>, socket: &Arc<Socket>, exchange: HttpExchange, request: &Request) {
     match websocket_handshake::accept(request) {
         Ok(accepted) => {
-            let unread = exchange.into_rest();
+            let unread = exchange.into_unread_bytes();
             player_session::serve(shared, socket, unread, &accepted);
         }
         Err(rejection) => send_last(socket, &rejection),
--- a/crates/daemon/src/server_link/controls.rs
+++ b/crates/daemon/src/server_link/controls.rs
@@ -110,7 +110,7 @@
             shared.send_from_server(target.server, message);
         }
     }
-    if !response.keeps_alive() || !exchange.is_clean() {
+    if !response.keeps_alive() || !exchange.is_buffer_empty() {
         return None;
     }
     socket.set_expiry(clock::now() + shared.limits().pool_idle);
--- a/crates/daemon/src/server_link/mod.rs
+++ b/crates/daemon/src/server_link/mod.rs
@@ -53,7 +53,7 @@
             server: id,
             address,
         };
-        spawn(Stack::Usual, move || {
+        spawn(Stack::Default, move || {
             controls::send_all(&shared, &target, &queue);
         });
         Arc::new(ServerLink {
@@ -150,7 +150,7 @@
         if !self.is_subscribed.swap(true, Ordering::AcqRel) {
             let link = self.clone();
             let shared = shared.clone();
-            spawn(Stack::Usual, move || link.follow_stream(&shared));
+            spawn(Stack::Default, move || link.follow_stream(&shared));
         }
     }
 
--- a/crates/daemon/src/server_link/stream.rs
+++ b/crates/daemon/src/server_link/stream.rs
@@ -114,7 +114,7 @@
         error: &ExchangeError,
         has_started: bool,
     ) -> StreamFailure {
-        if let ExchangeError::Bad(reason) = error {
+        if let ExchangeError::Malformed(reason) = error {
             self.log_malformed(&reason.to_string());
         }
         if !has_started {
--- a/crates/daemon/src/websocket_handshake.rs
+++ b/crates/daemon/src/websocket_handshake.rs
@@ -33,7 +33,7 @@
     if request.path().0 != "/session" {
         return Err(rejection(404, "WebSocket is spoken at /session"));
     }
-    if request.method != "GET" || request.minor == 0 {
+    if request.method != "GET" || request.minor_version == 0 {
         return Err(rejection(400, "a WebSocket handshake is a GET of HTTP/1.1"));
     }
     if request.fields.get("sec-websocket-version") != Some(WEBSOCKET_VERSION) {
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -4,7 +4,7 @@
 
 /// Incrementally decodes a body according to its framing.
 #[derive(Clone, Debug)]
-pub struct Body {
+pub struct BodyDecoder {
     state: State,
     /// The longest allowed body.
     max_bytes: u64,
@@ -36,12 +36,12 @@
 /// Most hexadecimal digits of a chunk's size; a number with more digits might not fit into 64 bits.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
-impl Body {
+impl BodyDecoder {
     /// Starts decoding a body of at most `max_bytes` bytes.
     ///
     /// # Errors
     /// [`HttpError::BodyTooLarge`]: the stated length is larger.
-    pub fn new(framing: Framing, max_bytes: u64) -> Result<Body, HttpError> {
+    pub fn new(framing: Framing, max_bytes: u64) -> Result<BodyDecoder, HttpError> {
         let state = match framing {
             Framing::Length(0) => State::Done,
             Framing::Length(length) if length > max_bytes => {
@@ -51,7 +51,7 @@
             Framing::UntilClose => State::UntilClose,
             Framing::Chunked => State::ChunkSize(Vec::new()),
         };
-        Ok(Body {
+        Ok(BodyDecoder {
             state,
             max_bytes,
             received_bytes: 0,
--- a/crates/http/src/body/tests.rs
+++ b/crates/http/src/body/tests.rs
@@ -8,7 +8,7 @@
     input: &[u8],
     piece_bytes: usize,
 ) -> Result<(Vec<u8>, usize, bool), HttpError> {
-    let mut body = Body::new(framing, 1000)?;
+    let mut body = BodyDecoder::new(framing, 1000)?;
     let (mut data, mut position) = (Vec::new(), 0);
     while position < input.len() && !body.is_complete() {
         let end = (position + piece_bytes).min(input.len());
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -55,8 +55,8 @@
     }
 
     /// Whether a connection may carry another message after one with this minor version of HTTP and these fields.
-    fn keep_alive(&self, minor: u8) -> bool {
-        if minor == 0 {
+    fn keep_alive(&self, minor_version: u8) -> bool {
+        if minor_version == 0 {
             self.has_token("connection", "keep-alive")
         } else {
             !self.has_token("connection", "close")
@@ -104,7 +104,7 @@
     /// The request target, as received.
     pub target: String,
     /// The minor version of HTTP/1: 0 or 1.
-    pub minor: u8,
+    pub minor_version: u8,
     /// The header fields, in the order received.
     pub fields: Fields,
 }
@@ -115,7 +115,7 @@
     /// The status code, such as 200.
     pub status: u16,
     /// The minor version of HTTP/1: 0 or 1.
-    pub minor: u8,
+    pub minor_version: u8,
     /// The header fields, in the order received.
     pub fields: Fields,
 }
@@ -165,7 +165,7 @@
         let request = Request {
             method: head.method.unwrap_or("").to_owned(),
             target: head.path.unwrap_or("").to_owned(),
-            minor: head.version.unwrap_or(1),
+            minor_version: head.version.unwrap_or(1),
             fields: Fields::read(head.headers)?,
         };
         request.check_host()?;
@@ -175,7 +175,7 @@
     /// Checks the number of Host fields (RFC 9112, section 3.2): exactly one in HTTP/1.1, at most one in HTTP/1.0.
     fn check_host(&self) -> Result<(), HttpError> {
         let hosts = self.fields.all("host").count();
-        if hosts > 1 || self.minor == 1 && hosts == 0 {
+        if hosts > 1 || self.minor_version == 1 && hosts == 0 {
             return Err(HttpError::HostField);
         }
         Ok(())
@@ -196,7 +196,7 @@
     /// Whether the connection may carry another request after this one.
     #[must_use]
     pub fn keeps_alive(&self) -> bool {
-        self.fields.keep_alive(self.minor)
+        self.fields.keep_alive(self.minor_version)
     }
 
     /// The path and the query of the target; the query is empty if there is none.
@@ -220,7 +220,7 @@
         };
         let response = Response {
             status: head.code.unwrap_or(0),
-            minor: head.version.unwrap_or(1),
+            minor_version: head.version.unwrap_or(1),
             fields: Fields::read(head.headers)?,
         };
         Ok(Some((response, length)))
@@ -241,7 +241,7 @@
     /// Whether the connection may carry another request after this response.
     #[must_use]
     pub fn keeps_alive(&self) -> bool {
-        self.fields.keep_alive(self.minor) && self.framing() != Ok(Framing::UntilClose)
+        self.fields.keep_alive(self.minor_version) && self.framing() != Ok(Framing::UntilClose)
     }
 }
 
--- a/crates/net/examples/timed_waits.rs
+++ b/crates/net/examples/timed_waits.rs
@@ -32,7 +32,7 @@
         let (sender, receiver) = channel::<()>();
         let (slept, waited) = (counts.clone(), counts.clone());
         let mut state = pair;
-        spawn(Stack::Usual, move || loop {
+        spawn(Stack::Default, move || loop {
             sleep(random_duration(&mut state, 30));
             slept[0].fetch_add(1, Ordering::Relaxed);
             if sender.send(()).is_err() {
@@ -40,7 +40,7 @@
             }
         });
         let mut state = pair + 1000;
-        spawn(Stack::Usual, move || loop {
+        spawn(Stack::Default, move || loop {
             let _ = recv_until(&receiver, clock::now() + random_duration(&mut state, 8000));
             waited[1].fetch_add(1, Ordering::Relaxed);
         });
--- a/crates/net/src/acceptor.rs
+++ b/crates/net/src/acceptor.rs
@@ -60,10 +60,10 @@
         waker: listener.waker(),
     };
     let handle_connection = Arc::new(handle_connection);
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         accept_until_stopped(&listener, &state, reserve, |stream, permit| {
             let handle_connection = handle_connection.clone();
-            spawn(Stack::Usual, move || {
+            spawn(Stack::Default, move || {
                 handle_connection(Socket::adopt(stream), permit);
             });
         });
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -1,7 +1,7 @@
 //! Receiving HTTP messages and event streams from a socket.
 use crate::clock;
 use crate::Socket;
-use crankpaddle_http::body::Body;
+use crankpaddle_http::body::BodyDecoder;
 use crankpaddle_http::head::{Framing, Request, Response};
 use crankpaddle_http::sse::{Event, EventDecoder};
 use crankpaddle_http::HttpError;
@@ -20,7 +20,7 @@
     Broken,
     /// The message is malformed.
     #[error("malformed message: {0}")]
-    Bad(#[from] HttpError),
+    Malformed(#[from] HttpError),
 }
 
 /// Why a body was not received completely, and how much of it was.
@@ -56,13 +56,13 @@
 
     /// The bytes that were read beyond the last message, for instance the first ones after a protocol switch.
     #[must_use]
-    pub fn into_rest(self) -> Vec<u8> {
+    pub fn into_unread_bytes(self) -> Vec<u8> {
         self.buffer
     }
 
     /// Whether nothing was read beyond the last message, so that the connection can be reused.
     #[must_use]
-    pub fn is_clean(&self) -> bool {
+    pub fn is_buffer_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
@@ -109,7 +109,7 @@
         timeout: Option<Duration>,
     ) -> Result<(Request, Vec<u8>), ExchangeError> {
         let request = self.request_head(timeout)?;
-        let body = Body::new(request.framing()?, max_body)?;
+        let body = BodyDecoder::new(request.framing()?, max_body)?;
         let data = self.read_body(body)?;
         if timeout.is_some() {
             self.socket.set_expiry(Time::MAX);
@@ -140,12 +140,12 @@
     /// No complete response was received, or it is malformed or too large.
     pub fn response(&mut self, max_body: u64) -> Result<(Response, Vec<u8>), ExchangeError> {
         let response = self.response_head()?;
-        let body = Body::new(response.framing()?, max_body)?;
+        let body = BodyDecoder::new(response.framing()?, max_body)?;
         let data = self.read_body(body)?;
         Ok((response, data))
     }
 
-    fn read_body(&mut self, mut body: Body) -> Result<Vec<u8>, ExchangeError> {
+    fn read_body(&mut self, mut body: BodyDecoder) -> Result<Vec<u8>, ExchangeError> {
         let mut data = Vec::new();
         loop {
             let taken = body.feed(&self.buffer, &mut data)?;
@@ -175,7 +175,7 @@
 
     /// Reads and discards a body, and adds its bytes to `received`, also those before an error.
     fn discard_body(&mut self, framing: Framing, received: &mut u64) -> Result<(), ExchangeError> {
-        let mut body = Body::new(framing, u64::MAX)?;
+        let mut body = BodyDecoder::new(framing, u64::MAX)?;
         let mut data = Vec::new();
         loop {
             let taken = body.feed(&self.buffer, &mut data)?;
@@ -199,7 +199,7 @@
     /// # Errors
     /// The head states contradictory or unsupported framing of the body.
     pub fn events(self, head: &Response, max_silence: Duration) -> Result<Events, ExchangeError> {
-        let body = Body::new(head.framing()?, u64::MAX)?;
+        let body = BodyDecoder::new(head.framing()?, u64::MAX)?;
         Ok(Events {
             exchange: self,
             body,
@@ -213,7 +213,7 @@
 /// A stream of server-sent events in the body of a response.
 pub struct Events {
     exchange: HttpExchange,
-    body: Body,
+    body: BodyDecoder,
     decoder: EventDecoder,
     /// Events that were received and not returned yet.
     decoded: std::vec::IntoIter<Event>,
--- a/crates/net/src/idle_sweep.rs
+++ b/crates/net/src/idle_sweep.rs
@@ -14,7 +14,7 @@
     pub fn start(interval: Duration) -> IdleSweeper {
         let sockets: Arc<Mutex<Vec<Weak<Socket>>>> = Arc::default();
         let watched = Arc::downgrade(&sockets);
-        spawn(Stack::Usual, move || {
+        spawn(Stack::Default, move || {
             while let Some(sockets) = watched.upgrade() {
                 sweep(&sockets);
                 drop(sockets);
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -46,7 +46,7 @@
 ) {
     let handle_connection = Arc::new(handle_connection);
     let mut budget = YieldBudget::default();
-    spawn(Stack::Usual, move || loop {
+    spawn(Stack::Default, move || loop {
         let accepted = listener.accept();
         if should_stop.load(Ordering::Acquire) {
             return;
@@ -54,7 +54,9 @@
         match accepted {
             Ok((stream, _)) => {
                 let handle_connection = handle_connection.clone();
-                spawn(Stack::Usual, move || handle_connection(Socket::new(stream)));
+                spawn(Stack::Default, move || {
+                    handle_connection(Socket::new(stream));
+                });
                 budget.spend(); // Accept never waits while connections are queued in the kernel.
             }
             Err(_) => sleep(ACCEPT_RETRY_PAUSE),
--- a/crates/net/src/runtime.rs
+++ b/crates/net/src/runtime.rs
@@ -12,14 +12,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stack {
     /// For connections and attempts. `may` reuses these stacks, so starting such a coroutine is cheap.
-    Usual,
+    Default,
     /// For the one coroutine of a process that runs the decision core.
     Large,
 }
 
-/// Size of a usual stack in words of 8 bytes. The highest use in the socket tests, in a debug build, was 3,329 words
+/// Size of a default stack in words of 8 bytes. The highest use in the socket tests, in a debug build, was 3,329 words
 /// (26 KiB). An odd size makes `may` print the stack use of each coroutine.
-const USUAL_STACK_WORDS: usize = 0x2000;
+const DEFAULT_STACK_WORDS: usize = 0x2000;
 /// Size of a large stack in words of 8 bytes. The highest use in the same tests was 4,843 words (38 KiB).
 const LARGE_STACK_WORDS: usize = 0x4_0000;
 /// The shortest wait. `may` (0.3.51) truncates timeouts to whole milliseconds and takes zero for no timeout.
@@ -36,7 +36,7 @@
 /// threads; `None` means one per core.
 pub fn start(workers: Option<usize>) {
     let config = may::config();
-    config.set_stack_size(USUAL_STACK_WORDS);
+    config.set_stack_size(DEFAULT_STACK_WORDS);
     config.set_worker_pin(false);
     if let Some(workers) = workers {
         ONE_WORKER.store(workers == 1, Ordering::Relaxed);
@@ -48,7 +48,7 @@
 #[allow(unsafe_code)]
 pub fn spawn<F: FnOnce() + Send + 'static>(stack: Stack, run: F) {
     let builder = match stack {
-        Stack::Usual => coroutine::Builder::new(),
+        Stack::Default => coroutine::Builder::new(),
         Stack::Large => coroutine::Builder::new().stack_size(LARGE_STACK_WORDS),
     };
     // SAFETY: `may` requires that a coroutine uses no thread-local across a wait and stays within its stack. This workspace
--- a/crates/net/src/runtime/tests.rs
+++ b/crates/net/src/runtime/tests.rs
@@ -32,14 +32,14 @@
     for i in 0..PAIRS {
         let (sender, receiver) = channel::<()>();
         let mut state = i;
-        spawn(Stack::Usual, move || {
+        spawn(Stack::Default, move || {
             for _ in 0..WAITS {
                 sleep(random_duration(&mut state, 30));
                 let _ = sender.send(()); // Cannot fail: the receiver waits for all messages.
             }
         });
         let (done, mut state) = (done.clone(), i + 1000);
-        spawn(Stack::Usual, move || {
+        spawn(Stack::Default, move || {
             let mut received = 0;
             while received < WAITS {
                 let until = clock::now() + random_duration(&mut state, 8000);
@@ -59,7 +59,7 @@
 fn run_in_coroutine<T: Send + 'static>(run: impl FnOnce() -> T + Send + 'static) -> T {
     start(Some(2));
     let (done, result) = std::sync::mpsc::channel();
-    spawn(Stack::Usual, move || drop(done.send(run())));
+    spawn(Stack::Default, move || drop(done.send(run())));
     result
         .recv_timeout(Duration::from_secs(60))
         .expect("the coroutine should end within a minute")
@@ -95,6 +95,6 @@
 
 #[test]
 fn a_panic_in_one_coroutine_ends_only_it() {
-    spawn(Stack::Usual, || panic!("on purpose, in a test"));
+    spawn(Stack::Default, || panic!("on purpose, in a test"));
     assert_eq!(run_in_coroutine(|| 5), 5);
 }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -26,11 +26,11 @@
 
 /// The state of the receiving side of a connection, as far as the kernel knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Peer {
+pub enum PeerState {
     /// The connection is established, and nothing is unread.
-    Quiet,
+    Idle,
     /// The peer has sent bytes that were not read yet. Whether it has closed the connection since then is not known.
-    Unread,
+    HasUnread,
     /// The connection was closed or reset, by either end.
     Ended,
 }
@@ -189,24 +189,24 @@
 
     /// The peer's state as far as the kernel knows it, without reading.
     #[must_use]
-    pub fn peer_state(&self) -> Peer {
+    pub fn peer_state(&self) -> PeerState {
         match self.peek() {
-            _ if self.is_closed() => Peer::Ended,
-            Ok(None) => Peer::Quiet,
-            Ok(Some(1)) => Peer::Unread,
-            Ok(_) | Err(_) => Peer::Ended,
+            _ if self.is_closed() => PeerState::Ended,
+            Ok(None) => PeerState::Idle,
+            Ok(Some(1)) => PeerState::HasUnread,
+            Ok(_) | Err(_) => PeerState::Ended,
         }
     }
 
     /// Whether the peer has sent bytes that were not read yet.
     #[must_use]
     pub fn has_unread(&self) -> bool {
-        self.peer_state() == Peer::Unread
+        self.peer_state() == PeerState::HasUnread
     }
 
     /// The number of written bytes that the kernel has not sent yet; 0 where the kernel does not report it.
     #[must_use]
-    pub fn unsent(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.queued_bytes(SIOCOUTQNSD).unwrap_or(0)
     }
 
@@ -236,7 +236,7 @@
     /// unread bytes, and so may be called while another coroutine reads the connection.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.peer_state() != Peer::Ended
+        self.peer_state() != PeerState::Ended
     }
 
     /// Looks at the next byte without reading it: 1 if there is one, 0 at the end of the stream, `None` if there is nothing to
--- a/crates/net/src/write_buffer.rs
+++ b/crates/net/src/write_buffer.rs
@@ -39,7 +39,7 @@
     /// Total number of bytes that the kernel has accepted.
     accepted: AtomicU64,
     /// When the reader of the socket last found nothing more to read.
-    drained_at: AtomicTime,
+    input_drained_at: AtomicTime,
 }
 
 impl WriteBuffer {
@@ -51,7 +51,7 @@
             max_pending,
             pending: Mutex::new(Vec::new()),
             accepted: AtomicU64::new(0),
-            drained_at: AtomicTime::new(Time::ZERO),
+            input_drained_at: AtomicTime::new(Time::ZERO),
         }
     }
 
@@ -80,8 +80,8 @@
     /// When [`WriteBuffer::read_each`] last found nothing more to read. Everything that arrived before was passed on.
     /// [`Time::ZERO`] if that has not happened yet.
     #[must_use]
-    pub fn drained_at(&self) -> Time {
-        self.drained_at.load(Ordering::Acquire)
+    pub fn input_drained_at(&self) -> Time {
+        self.input_drained_at.load(Ordering::Acquire)
     }
 
     /// Writes what the kernel accepts without waiting, and counts it.
@@ -147,7 +147,7 @@
             self.flush();
             match self.socket.try_read(&mut chunk) {
                 Ok(None) => {
-                    self.drained_at.store(clock::now(), Ordering::Release);
+                    self.input_drained_at.store(clock::now(), Ordering::Release);
                     self.socket.wait();
                     budget.reset();
                 }
@@ -161,7 +161,7 @@
 
     /// Flushes the buffer until the connection ends, and discards what the peer sends. Must be called in the coroutine that
     /// waits on the socket.
-    pub fn until_closed(&self) {
+    pub fn flush_until_closed(&self) {
         self.read_each::<64>(|_| true);
     }
 
--- a/crates/net/tests/connect.rs
+++ b/crates/net/tests/connect.rs
@@ -16,7 +16,7 @@
     let (run, running) = (Arc::new(run), Arc::new(AtomicUsize::new(COROUTINES)));
     for index in 0..COROUTINES {
         let (run, running) = (run.clone(), running.clone());
-        spawn(Stack::Usual, move || {
+        spawn(Stack::Default, move || {
             run(index);
             running.fetch_sub(1, Ordering::AcqRel);
         });
--- a/crates/node/src/connection_table/tests.rs
+++ b/crates/node/src/connection_table/tests.rs
@@ -15,7 +15,7 @@
     crankpaddle_net::start(Some(1));
     let (address, (sender, receiver)) =
         (listener.local_addr().unwrap(), std::sync::mpsc::channel());
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         drop(sender.send(Socket::connect(&address, Duration::from_secs(20))));
     });
     let socket = receiver
@@ -92,7 +92,7 @@
     rustix::net::sockopt::set_socket_recv_buffer_size(listener, 1024).unwrap();
     let (address, (sender, receiver)) =
         (listener.local_addr().unwrap(), std::sync::mpsc::channel());
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         drop(sender.send(Socket::connect(&address, Duration::from_secs(20))));
     });
     let (peer, _) = listener.accept().unwrap();
--- a/crates/node/src/event_loop/attempt_dispatch.rs
+++ b/crates/node/src/event_loop/attempt_dispatch.rs
@@ -10,7 +10,7 @@
 use crankpaddle_front::{
     AttemptId, AttemptOutcome, Input, LoadReport, ServerId, SetUpOrder, SetUpResult, Time,
 };
-use crankpaddle_net::{clock, CloseReason, Peer};
+use crankpaddle_net::{clock, CloseReason, PeerState};
 use crankpaddle_node_protocol::{rtsp, Tag};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -144,12 +144,14 @@
             return Some(DispatchDecision::Defer);
         }
         let is_deferred_for_long = now >= queued.ready_since + MAX_DEFERRAL;
-        let is_input_recent = now < connection.outbox.drained_at() + MAX_INPUT_AGE;
+        let is_input_recent = now < connection.outbox.input_drained_at() + MAX_INPUT_AGE;
         Some(match connection.outbox.socket().peer_state() {
-            Peer::Quiet => DispatchDecision::Dispatch,
-            Peer::Ended => DispatchDecision::Defer, // Its reader is about to report the end.
-            Peer::Unread if is_deferred_for_long && is_input_recent => DispatchDecision::Dispatch,
-            Peer::Unread => DispatchDecision::Defer,
+            PeerState::Idle => DispatchDecision::Dispatch,
+            PeerState::Ended => DispatchDecision::Defer, // Its reader is about to report the end.
+            PeerState::HasUnread if is_deferred_for_long && is_input_recent => {
+                DispatchDecision::Dispatch
+            }
+            PeerState::HasUnread => DispatchDecision::Defer,
         })
     }
 
--- a/crates/node/src/event_loop/link.rs
+++ b/crates/node/src/event_loop/link.rs
@@ -88,7 +88,7 @@
     /// Whether some bytes that were written to it are still in the node's or the kernel's send buffer.
     pub(super) fn has_unsent(&self) -> bool {
         self.outbox()
-            .is_some_and(|outbox| !outbox.is_empty() || outbox.socket().unsent() > 0)
+            .is_some_and(|outbox| !outbox.is_empty() || outbox.socket().unsent_bytes() > 0)
     }
 
     /// Records that something was received on it, which makes it responsive.
--- a/crates/node/src/server_connector.rs
+++ b/crates/node/src/server_connector.rs
@@ -18,7 +18,7 @@
 pub(crate) fn connect(shared: &Arc<Shared>, link: LinkId, address: SocketAddr) {
     shared.link_descriptors.fetch_add(1, Ordering::Relaxed);
     let shared = shared.clone();
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         let timeout = connect_timeout(Duration::from_nanos(shared.config.fleet.connect_timeout));
         match Socket::connect(&address, timeout) {
             Ok(socket) => serve(socket, link, &shared),
--- a/crates/testbed/src/fleet/arrivals.rs
+++ b/crates/testbed/src/fleet/arrivals.rs
@@ -68,6 +68,6 @@
         }
         let players = players.clone();
         let until = clock::now() + visit.patience + visit.watch;
-        spawn(Stack::Usual, move || players.visit(&visit, until));
+        spawn(Stack::Default, move || players.visit(&visit, until));
     }
 }
--- a/crates/testbed/src/list_service.rs
+++ b/crates/testbed/src/list_service.rs
@@ -135,7 +135,7 @@
             acceptor.serve(&Arc::new(socket));
         });
         let notifier = service.clone();
-        spawn(Stack::Usual, move || notifier.run());
+        spawn(Stack::Default, move || notifier.run());
         Ok(service)
     }
 
@@ -227,7 +227,7 @@
         let front = query.strip_prefix("front=").unwrap_or("").to_owned();
         let stream = Arc::new(WriteBuffer::new(socket.clone(), STREAM_BUFFER));
         self.subscribe(front, &stream);
-        stream.until_closed(); // The front sends nothing more on this connection.
+        stream.flush_until_closed(); // The front sends nothing more on this connection.
         socket.close(CloseReason::ReadEnded);
     }
 
--- a/crates/testbed/src/player/client.rs
+++ b/crates/testbed/src/player/client.rs
@@ -97,8 +97,11 @@
         let config = WebSocketConfig::default()
             .read_buffer_size(1024)
             .write_buffer_size(0);
-        let context =
-            WebSocketContext::from_partially_read(exchange.into_rest(), Role::Client, Some(config));
+        let context = WebSocketContext::from_partially_read(
+            exchange.into_unread_bytes(),
+            Role::Client,
+            Some(config),
+        );
         Ok(Client {
             outbox: WriteBuffer::new(socket, SEND_BUFFER),
             context,
--- a/crates/testbed/src/scenario_runner/timeline.rs
+++ b/crates/testbed/src/scenario_runner/timeline.rs
@@ -151,6 +151,6 @@
         visit.watch = visit.watch.min(self.day.length - at + WATCH_AFTER_END);
         let players = self.players.clone();
         let until = self.start + self.day.length;
-        spawn(Stack::Usual, move || players.visit(&visit, until));
+        spawn(Stack::Default, move || players.visit(&visit, until));
     }
 }
--- a/crates/testbed/src/server/streams.rs
+++ b/crates/testbed/src/server/streams.rs
@@ -113,7 +113,7 @@
         outbox.push(&first);
         lock(&self.event_streams).insert(front.clone(), outbox.clone());
         drop(sessions);
-        outbox.until_closed(); // The front sends nothing more on this connection.
+        outbox.flush_until_closed(); // The front sends nothing more on this connection.
         let mut streams = lock(&self.event_streams);
         if streams
             .get(&front)
--- a/crates/testbed/src/server_reports.rs
+++ b/crates/testbed/src/server_reports.rs
@@ -130,7 +130,7 @@
             short_delivery_at: Time::ZERO,
             load_at: Time::ZERO,
         };
-        spawn(Stack::Usual, move || loop {
+        spawn(Stack::Default, move || loop {
             sleep(TICK);
             reporter.tick();
         });
--- a/crates/traffic-report/src/source.rs
+++ b/crates/traffic-report/src/source.rs
@@ -1,7 +1,7 @@
 //! Obtains reports from a running front (`GET /traffic`), or from the file in which a front saves its report.
 use crate::SourceError;
 use crankpaddle_cross_zone_traffic::report::TrafficReport;
-use crankpaddle_http::body::Body;
+use crankpaddle_http::body::BodyDecoder;
 use crankpaddle_http::head::{self, Response};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -64,7 +64,8 @@
         return Err(SourceError::UnexpectedStatus(response.status));
     }
     let framing = response.framing().map_err(SourceError::InvalidHttp)?;
-    let mut body = Body::new(framing, MAX_RESPONSE_BYTES).map_err(SourceError::InvalidHttp)?;
+    let mut body =
+        BodyDecoder::new(framing, MAX_RESPONSE_BYTES).map_err(SourceError::InvalidHttp)?;
     let mut content = Vec::new();
     body.feed(&bytes[head_length..], &mut content)
         .map_err(SourceError::InvalidHttp)?;
