--- a/crates/config/src/check/budgets.rs
+++ b/crates/config/src/check/budgets.rs
@@ -32,7 +32,7 @@
                 let message = format!(
                     "has the same zones and class as budget[{other}]; allowed: one budget for each"
                 );
-                self.wrong(&format!("budget[{index}].from"), message);
+                self.report_problem(&format!("budget[{index}].from"), message);
             }
             let shared = self.shared_budget(index, budget);
             let Some(from) = scope.from else {
@@ -59,7 +59,7 @@
         let path = |field: &str| format!("budget[{index}].{field}");
         let from = self.zone_index(&zones.names, &path("from"), &budget.from);
         let to = self.zone_index(&zones.names, &path("to"), &budget.to);
-        self.must(
+        self.require(
             from.is_none() || from != to,
             &path("to"),
             "is the same zone as from; allowed: another zone",
@@ -68,7 +68,7 @@
         if class.is_none() && !budget.class.is_empty() {
             let known = classes.join(", ");
             let message = format!("{:?} is not a class: {known}", budget.class);
-            self.wrong(&path("class"), message);
+            self.report_problem(&path("class"), message);
         }
         BudgetScope { from, to, class }
     }
--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -16,7 +16,7 @@
 impl ConfigChecker<'_, '_> {
     pub(super) fn classes(&mut self, raw: &[schema::Class], ladder: &LadderSettings) -> Classes {
         let names: Vec<&str> = raw.iter().map(|class| class.name.as_str()).collect();
-        let names = self.names("class", ".name", &names);
+        let names = self.unique_names("class", ".name", &names);
         let mut classes = Vec::with_capacity(raw.len());
         let mut max_wait = Vec::with_capacity(raw.len());
         for (index, class) in raw.iter().enumerate() {
@@ -42,10 +42,10 @@
             latency_objective,
             idempotency,
             retry_window,
-            priority_weight: self.within(&path("worth"), class.worth(), 1e-9, 1e9),
+            priority_weight: self.number_in_range(&path("worth"), class.worth(), 1e-9, 1e9),
             min_rung: min_rung as u8,
             max_rung: max_rung as u8,
-            rate_factor: self.within(&path("rate_factor"), class.rate_factor(), 1e-3, 1e3),
+            rate_factor: self.number_in_range(&path("rate_factor"), class.rate_factor(), 1e-3, 1e3),
             max_sessions_per_title: class.seats,
             live: class.live,
         }
@@ -65,7 +65,7 @@
             }
             schema::Effect::Unspecified => {
                 let path = format!("class[{index}].effect");
-                self.wrong(&path, "is missing; allowed: FREE, GUARDED, PAID");
+                self.report_problem(&path, "is missing; allowed: FREE, GUARDED, PAID");
                 (Idempotency::AtMostOnce, 0)
             }
         }
@@ -79,7 +79,7 @@
     ) -> Duration {
         let path = format!("class[{index}].give_up");
         let max_wait = self.duration(&path, class.give_up());
-        self.must(
+        self.require(
             max_wait >= latency_objective || class.give_up().is_empty(),
             &path,
             "is under aim: viewers would stop waiting before the latency objective",
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -31,13 +31,13 @@
             fleet_link_kb: self.rate("fleet.links", &fleet.links),
             link_kb: self.rate("fleet.link", &fleet.link),
             uplink_kb: self.rate("fleet.uplink", &fleet.uplink),
-            server_rejection_threshold: self.within(
+            server_rejection_threshold: self.number_in_range(
                 "fleet.server_guard",
                 fleet.server_guard,
                 0.0,
                 10.0,
             ),
-            shared_stream_factor: self.within("fleet.join", fleet.join(), 0.0, 1.0),
+            shared_stream_factor: self.number_in_range("fleet.join", fleet.join(), 0.0, 1.0),
             update_delay: self.time("fleet.note_delay", fleet.note_delay()),
             update_interval: self.time("fleet.note_every", fleet.note_every()),
         }
@@ -45,8 +45,8 @@
 
     fn kinds(&mut self, kinds: &[schema::Kind]) -> Vec<String> {
         let names: Vec<&str> = kinds.iter().map(|kind| kind.name.as_str()).collect();
-        let names = self.names("fleet.kind", ".name", &names);
-        self.must(
+        let names = self.unique_names("fleet.kind", ".name", &names);
+        self.require(
             !names.is_empty(),
             "fleet.kind",
             "is missing; allowed: one or more kinds",
--- a/crates/config/src/check/front.rs
+++ b/crates/config/src/check/front.rs
@@ -37,15 +37,15 @@
         if index >= count {
             let last = count - 1;
             let message = format!("is {index}; allowed: 0 to {last}, under front.siblings");
-            self.wrong("front.index", message);
+            self.report_problem("front.index", message);
         }
         Replica { index, count }
     }
 
     pub(super) fn zones(&mut self, fleet: &schema::Fleet, front: &schema::Front) -> Zones {
         let names: Vec<&str> = fleet.zone.iter().map(String::as_str).collect();
-        let names = self.names("fleet.zone", "", &names);
-        self.must(
+        let names = self.unique_names("fleet.zone", "", &names);
+        self.require(
             (1..=MAX_ZONES).contains(&names.len()),
             "fleet.zone",
             "1 to 255 zones are allowed",
@@ -62,7 +62,7 @@
         let index = zones.iter().position(|zone| zone == name);
         if index.is_none() {
             let known = zones.join(", ");
-            self.wrong(path, format!("{name:?} is not in fleet.zone: {known}"));
+            self.report_problem(path, format!("{name:?} is not in fleet.zone: {known}"));
         }
         index
     }
--- a/crates/config/src/check/ladder.rs
+++ b/crates/config/src/check/ladder.rs
@@ -24,7 +24,7 @@
 
 impl ConfigChecker<'_, '_> {
     pub(super) fn ladder(&mut self, ladder: &schema::Ladder) -> LadderSettings {
-        self.must(
+        self.require(
             (1..=MAX_RUNGS).contains(&ladder.rung.len()),
             "ladder.rung",
             "1 to 64 rungs are allowed",
@@ -35,13 +35,13 @@
             let rate_path = format!("ladder.rung[{index}].rate");
             let utility_path = format!("ladder.rung[{index}].worth");
             let rate = self.rate(&rate_path, &rung.rate);
-            let utility = self.within(&utility_path, rung.worth, MIN_UTILITY, 1.0);
-            self.must(
+            let utility = self.number_in_range(&utility_path, rung.worth, MIN_UTILITY, 1.0);
+            self.require(
                 rises(&rung_kb, rate),
                 &rate_path,
                 "does not rise; allowed: more than the rate of the rung before",
             );
-            self.must(
+            self.require(
                 rises(&rung_utility, utility),
                 &utility_path,
                 "does not rise; allowed: more than the worth of the rung before",
@@ -54,8 +54,13 @@
         LadderSettings {
             rung_kb,
             rung_utility,
-            shortfall_cost: self.within("ladder.shortfall_cost", shortfall_cost, 0.0, 100.0),
-            rung_change_cost_seconds: self.within(
+            shortfall_cost: self.number_in_range(
+                "ladder.shortfall_cost",
+                shortfall_cost,
+                0.0,
+                100.0,
+            ),
+            rung_change_cost_seconds: self.number_in_range(
                 "ladder.switch_seconds",
                 switch_seconds,
                 0.0,
--- a/crates/config/src/check/limits.rs
+++ b/crates/config/src/check/limits.rs
@@ -49,7 +49,7 @@
     /// Checks that the margin is at most half of each class's maximum wait.
     fn check_answer_margin(&mut self, answer_margin: Duration, max_wait: &[Duration]) {
         for (index, max_wait) in max_wait.iter().enumerate() {
-            self.must(
+            self.require(
                 answer_margin <= *max_wait / 2,
                 &format!("class[{index}].give_up"),
                 "is under twice limits.answer_margin: too little time is left to set a session up",
@@ -67,15 +67,16 @@
     pub(super) fn limits(&mut self, limits: &schema::Limits) -> Limits {
         let connections = limits.connections();
         Limits {
-            connections: self.count("limits.connections", connections, 1, MAX_CONNECTIONS) as usize,
-            message: self.size("limits.message", limits.message()),
-            unread: self.size("limits.unread", limits.unread()),
-            idle: self.duration("limits.idle", limits.idle()),
-            handshake: self.duration("limits.handshake", limits.handshake()),
-            connect: self.duration("limits.connect", limits.connect()),
-            pool_idle: self.duration("limits.pool_idle", limits.pool_idle()),
-            silence: self.duration("limits.silence", limits.silence()),
-            drain: self.duration("limits.drain", limits.drain()),
+            max_connections: self.count("limits.connections", connections, 1, MAX_CONNECTIONS)
+                as usize,
+            max_message_bytes: self.size("limits.message", limits.message()),
+            max_unsent_bytes: self.size("limits.unread", limits.unread()),
+            idle_timeout: self.duration("limits.idle", limits.idle()),
+            handshake_timeout: self.duration("limits.handshake", limits.handshake()),
+            connect_timeout: self.duration("limits.connect", limits.connect()),
+            pool_idle_timeout: self.duration("limits.pool_idle", limits.pool_idle()),
+            silence_timeout: self.duration("limits.silence", limits.silence()),
+            drain_timeout: self.duration("limits.drain", limits.drain()),
         }
     }
 }
--- a/crates/config/src/check/log.rs
+++ b/crates/config/src/check/log.rs
@@ -14,12 +14,12 @@
 
 impl ConfigChecker<'_, '_> {
     pub(super) fn log(&mut self, log: &schema::Log) -> LogSettings {
-        self.must(
+        self.require(
             LEVELS.contains(&log.level()),
             "log.level",
             "is not a log level; allowed: error, warn, info, debug, trace",
         );
-        self.must(
+        self.require(
             FORMS.contains(&log.form()),
             "log.form",
             "is not a log format; allowed: json, human",
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -36,10 +36,11 @@
 /// Checks a text. Returns the configuration, and the text with all defaults filled in.
 pub(crate) fn parse(text: &str) -> Result<(Config, String), Vec<Problem>> {
     let mut checks = Checks::new(text);
-    let raw = checks.structure::<schema::Config>(DESCRIPTORS, "crankpaddle.v1.Config", DEFAULTS);
+    let raw =
+        checks.parse_message::<schema::Config>(DESCRIPTORS, "crankpaddle.v1.Config", DEFAULTS);
     let config: Option<Config> = raw.map(|raw| ConfigChecker(&mut checks).sections(&raw).into());
-    let text_with_defaults = checks.filled().to_owned();
-    checks.verdict(config.map(|config| (config, text_with_defaults)))
+    let text_with_defaults = checks.text_with_defaults().to_owned();
+    checks.into_result(config.map(|config| (config, text_with_defaults)))
 }
 
 /// The checked sections.
@@ -150,7 +151,7 @@
     fn required_sections(&mut self) {
         for name in REQUIRED_SECTIONS {
             let is_present = self.has(name);
-            self.must(is_present, name, "is missing");
+            self.require(is_present, name, "is missing");
         }
     }
 
@@ -164,7 +165,7 @@
         const MAX_BYTES: usize = 64;
         let is_allowed =
             !name.is_empty() && name.len() <= MAX_BYTES && !name.contains(char::is_whitespace);
-        self.must(
+        self.require(
             is_allowed,
             path,
             "must be a name of 1 to 64 bytes without spaces",
@@ -173,7 +174,7 @@
 
     /// Checks the path of a file that holds a secret key.
     fn key_file(&mut self, path: &str, file: &str) -> PathBuf {
-        self.must(
+        self.require(
             !file.is_empty(),
             path,
             "is missing; allowed: the path of a file of 32 hex digits",
--- a/crates/config/src/check/peers.rs
+++ b/crates/config/src/check/peers.rs
@@ -11,7 +11,7 @@
 
 impl ConfigChecker<'_, '_> {
     pub(super) fn peers(&mut self, sections: &[schema::Peers]) -> Option<Peers> {
-        self.must(
+        self.require(
             sections.len() <= 1,
             "peers[1]",
             "is given more than once; allowed: one section peers",
@@ -20,7 +20,7 @@
         let path = |field: &str| format!("peers[0].{field}");
         self.replica_name(&path("name"), &peers.name);
         let probe_every = self.duration(&path("probe_every"), peers.probe_every());
-        self.must(
+        self.require(
             probe_every >= MIN_PROBE_INTERVAL,
             &path("probe_every"),
             "is under 20 ms: no peer could answer in time",
@@ -34,7 +34,7 @@
             datagrams: self.count(&path("datagrams"), peers.datagrams(), 10, 100_000),
             bytes: (self.rate(&path("bytes"), peers.bytes()) * BYTES_PER_KB) as usize,
             probe_every,
-            ways: self.peer_addresses(peers),
+            address_overrides: self.peer_addresses(peers),
         })
     }
 
@@ -56,7 +56,7 @@
     /// Returns the addresses to use instead of those that peers advertise, by the peer's name.
     fn peer_addresses(&mut self, peers: &schema::Peers) -> HashMap<String, SocketAddr> {
         let names: Vec<&str> = peers.way.iter().map(|way| way.name.as_str()).collect();
-        self.names("peers[0].way", ".name", &names);
+        self.unique_names("peers[0].way", ".name", &names);
         let mut addresses = HashMap::with_capacity(peers.way.len());
         for (index, way) in peers.way.iter().enumerate() {
             let address = self.address(&format!("peers[0].way[{index}].address"), &way.address);
--- a/crates/config/src/check/rules.rs
+++ b/crates/config/src/check/rules.rs
@@ -32,7 +32,7 @@
     pub(super) fn rules(&mut self, rules: &schema::Rules) -> RuleSettings {
         RuleSettings {
             retry_budget: self.retry_budget(rules.retry.as_ref()),
-            over_quota_weight: self.within(
+            over_quota_weight: self.number_in_range(
                 "rules.over_share_worth",
                 rules.over_share_worth(),
                 0.0,
@@ -41,15 +41,20 @@
             max_attempts: self.count("rules.attempts", rules.attempts(), 1, MAX_ATTEMPTS),
             max_retry_after: self.time("rules.stay_away", rules.stay_away()),
             slow_start_duration: self.time("rules.cold", rules.cold()),
-            slow_start_min_factor: self.within("rules.cold_share", rules.cold_share(), 0.001, 1.0),
-            overload_multiple: self.within(
+            slow_start_min_factor: self.number_in_range(
+                "rules.cold_share",
+                rules.cold_share(),
+                0.001,
+                1.0,
+            ),
+            overload_multiple: self.number_in_range(
                 "rules.fall_multiple",
                 rules.fall_multiple(),
                 0.1,
                 1000.0,
             ),
             overload_window: self.time("rules.fall", rules.fall()),
-            cross_zone_price: self.within(
+            cross_zone_price: self.number_in_range(
                 "rules.cross_zone_price",
                 rules.cross_zone_price(),
                 0.0,
@@ -63,8 +68,8 @@
             return RetryBudget::default();
         };
         RetryBudget {
-            min: Some(self.within("rules.retry.floor", retry.floor, 0.0, 1e9)),
-            ratio: self.within("rules.retry.share", retry.share, 0.0, 10.0),
+            min: Some(self.number_in_range("rules.retry.floor", retry.floor, 0.0, 1e9)),
+            ratio: self.number_in_range("rules.retry.share", retry.share, 0.0, 10.0),
             window: self.time("rules.retry.window", &retry.window),
         }
     }
--- a/crates/config/src/check/store.rs
+++ b/crates/config/src/check/store.rs
@@ -7,20 +7,20 @@
 impl ConfigChecker<'_, '_> {
     /// `warm_up` is the time in nanoseconds after which a restarted server is warm.
     pub(super) fn store(&mut self, sections: &[schema::Store], warm_up: u64) -> Option<Store> {
-        self.must(
+        self.require(
             sections.len() <= 1,
             "store[1]",
             "is given more than once; allowed: one section store",
         );
         let store = sections.first()?;
         let path = |field: &str| format!("store[0].{field}");
-        self.must(
+        self.require(
             !store.dir.is_empty(),
             &path("dir"),
             "is missing; allowed: a directory that only this front uses",
         );
         self.replica_name(&path("name"), &store.name);
-        self.must(
+        self.require(
             !store.boot_file().is_empty(),
             &path("boot_file"),
             "is empty; allowed: the path of a file whose text differs with each boot",
@@ -29,7 +29,7 @@
             dir: store.dir.clone().into(),
             name: store.name.clone(),
             key_file: self.key_file(&path("key_file"), &store.key_file),
-            steps: self.stage_timeouts(store, Duration::from_nanos(warm_up)),
+            stage_timeouts: self.stage_timeouts(store, Duration::from_nanos(warm_up)),
             boot_file: store.boot_file().into(),
         })
     }
--- a/crates/config/src/check/tenants.rs
+++ b/crates/config/src/check/tenants.rs
@@ -12,11 +12,11 @@
 impl ConfigChecker<'_, '_> {
     pub(super) fn tenants(&mut self, tenants: &[schema::Tenant]) -> Tenants {
         let names: Vec<&str> = tenants.iter().map(|tenant| tenant.name.as_str()).collect();
-        let names = self.names("tenant", ".name", &names);
+        let names = self.unique_names("tenant", ".name", &names);
         let mut quotas = Vec::with_capacity(tenants.len());
         for (index, tenant) in tenants.iter().enumerate() {
             let path = format!("tenant[{index}].quota");
-            quotas.push(self.within(&path, tenant.quota, 0.001, 1e9));
+            quotas.push(self.number_in_range(&path, tenant.quota, 0.001, 1e9));
         }
         Tenants { names, quotas }
     }
--- a/crates/config/src/check/titles.rs
+++ b/crates/config/src/check/titles.rs
@@ -14,7 +14,7 @@
 impl ConfigChecker<'_, '_> {
     pub(super) fn titles(&mut self, raw: &[schema::Title], cells: u32) -> Titles {
         let names: Vec<&str> = raw.iter().map(|title| title.name.as_str()).collect();
-        self.names("title", ".name", &names);
+        self.unique_names("title", ".name", &names);
         let mut titles = HashMap::new();
         let mut groups = vec![String::new()]; // The group of titles without a group.
         for (index, title) in raw.iter().enumerate() {
@@ -22,7 +22,7 @@
             let first_cell = self.count(&path("first_cell"), title.first_cell, 0, cells - 1);
             let copies = self.count(&path("copies"), title.copies, 1, cells);
             let group = group_index(&mut groups, &title.group);
-            self.must(
+            self.require(
                 group <= MAX_TITLE_GROUPS,
                 &path("group"),
                 "is the name of a further group; allowed: at most 1000 groups",
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The configuration of a front: protobuf text format, checked completely before anything starts.
 //!
 //! [`parse`] converts a text into a [`Config`], or reports every problem with its line, its column and the allowed values.
-//! The schema is `proto/config.proto`. All defaults are in `proto/defaults.textproto`. The fields of [`Limits`] and
-//! [`Peers`], and most of [`Store`], are named as in the schema.
+//! The schema is `proto/config.proto`. All defaults are in `proto/defaults.textproto`. Most fields of
+//! [`Peers`] and [`Store`] are named as in the schema.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 mod check;
@@ -45,23 +45,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Maximum number of concurrent player connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Maximum size of a message from a player.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// Bytes that may be queued for a player that does not read; a player with more is disconnected.
-    pub unread: usize,
+    pub max_unsent_bytes: usize,
     /// A player that sends nothing is pinged after this time, and disconnected after the same time again.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time within which a WebSocket handshake or an HTTP request must be complete.
-    pub handshake: Duration,
+    pub handshake_timeout: Duration,
     /// Timeout for connecting to a server.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Idle connections to servers are closed after this time.
-    pub pool_idle: Duration,
+    pub pool_idle_timeout: Duration,
     /// A server's event stream is reconnected after this time without data.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Maximum time that a graceful shutdown waits for pending requests and active sessions.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
 }
 
 /// The front's membership: how it finds its peers and is found by them.
@@ -84,7 +84,7 @@
     /// Interval between two health checks of peers.
     pub probe_every: Duration,
     /// Addresses to use instead of those that peers advertise, by the peer's name.
-    pub ways: HashMap<String, SocketAddr>,
+    pub address_overrides: HashMap<String, SocketAddr>,
 }
 
 /// The store of the state that survives a power loss, and the stages of recovery after one.
@@ -97,7 +97,7 @@
     /// File with the key from which the front's name at servers is derived.
     pub key_file: PathBuf,
     /// Timeouts of the recovery stages.
-    pub steps: crankpaddle_recovery::StageTimeouts,
+    pub stage_timeouts: crankpaddle_recovery::StageTimeouts,
     /// File whose content differs with each boot of the host.
     pub boot_file: PathBuf,
 }
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -23,7 +23,7 @@
 fn count_at(problems: &[Problem], line: &str, message: &str) -> usize {
     problems
         .iter()
-        .filter(|problem| problem.line == line_of(line) && problem.what.contains(message))
+        .filter(|problem| problem.line == line_of(line) && problem.message.contains(message))
         .count()
 }
 
@@ -41,7 +41,7 @@
         config.terms.max_wait,
         [4_000_000_000, 5_000_000_000].map(Duration::from_nanos)
     );
-    assert_eq!(config.limits.message, 65536);
+    assert_eq!(config.limits.max_message_bytes, 65536);
     assert_eq!(config.classes, ["paid-view", "preview"]);
     assert_eq!(config.titles["old-bridge"].first_cell, 2);
     assert_eq!(
@@ -185,7 +185,7 @@
     let messages: Vec<String> = parse("")
         .unwrap_err()
         .iter()
-        .map(|problem| problem.what.clone())
+        .map(|problem| problem.message.clone())
         .collect();
     for section in ["front", "fleet", "ladder", "class", "title"] {
         assert!(
@@ -206,7 +206,7 @@
     assert_eq!(
         (
             config.settings.max_attempts,
-            config.limits.message,
+            config.limits.max_message_bytes,
             config.terms.max_retained_keys
         ),
         (3, 65536, 100_000)
@@ -339,7 +339,9 @@
     ] {
         let found = parse(&text).unwrap_err();
         assert!(
-            found.iter().any(|problem| problem.what.contains(message)),
+            found
+                .iter()
+                .any(|problem| problem.message.contains(message)),
             "{message}: {found:?}"
         );
     }
--- a/crates/daemon/src/attempt_sender.rs
+++ b/crates/daemon/src/attempt_sender.rs
@@ -95,7 +95,7 @@
         Err(ExchangeError::Malformed(_)) => return ended(AttemptOutcome::ServerError),
     };
     if request.handle.answered() && response.keeps_alive() && exchange.is_buffer_empty() {
-        let idle_timeout = shared.limits().pool_idle;
+        let idle_timeout = shared.limits().pool_idle_timeout;
         shared.pool.put(request.address, socket, idle_timeout);
     }
     sessions::parse_set_up_response(&response, &body)
--- a/crates/daemon/src/event_loop/maintenance.rs
+++ b/crates/daemon/src/event_loop/maintenance.rs
@@ -6,7 +6,7 @@
 impl EventLoop {
     pub(super) fn run_maintenance(&mut self) {
         let now = clock::now();
-        let idle_timeout = self.shared.limits().pool_idle;
+        let idle_timeout = self.shared.limits().pool_idle_timeout;
         for state in self.servers.values() {
             if let Some(link) = &state.link {
                 link.close_if_idle(now, idle_timeout);
--- a/crates/daemon/src/event_loop/previous_incarnation.rs
+++ b/crates/daemon/src/event_loop/previous_incarnation.rs
@@ -27,7 +27,7 @@
         };
         let now = clock::now();
         let recovered = &opened.recovered;
-        let mut recovery = StagedRecovery::new(store_config.steps, now);
+        let mut recovery = StagedRecovery::new(store_config.stage_timeouts, now);
         recovery.start_reading(now);
         recovery.state_read(now, recovered.shutdown);
         let is_state_known = recovered.shutdown != PreviousShutdown::Unknown;
--- a/crates/daemon/src/event_loop/shutdown.rs
+++ b/crates/daemon/src/event_loop/shutdown.rs
@@ -48,7 +48,7 @@
             "draining started"
         );
         self.shared.start_draining();
-        let deadline = clock::now() + self.shared.limits().drain;
+        let deadline = clock::now() + self.shared.limits().drain_timeout;
         self.shutdown = ShutdownStage::Draining { deadline };
         self.handle_core_input(Input::Drain);
     }
--- a/crates/daemon/src/inventory_client.rs
+++ b/crates/daemon/src/inventory_client.rs
@@ -56,7 +56,9 @@
 
 fn exchange(shared: &Shared, address: &SocketAddr, request: &[u8]) -> Option<ServerResponse> {
     let store = shared.config.store.as_ref();
-    let timeout = store.map_or(Duration::ZERO, |store| store.steps.reconciliation_timeout);
+    let timeout = store.map_or(Duration::ZERO, |store| {
+        store.stage_timeouts.reconciliation_timeout
+    });
     let socket = Arc::new(Socket::connect(address, shared.connect_timeout()).ok()?);
     socket.set_expiry(clock::now() + timeout);
     shared.server_sweeper.watch(&socket);
--- a/crates/daemon/src/list_service_client.rs
+++ b/crates/daemon/src/list_service_client.rs
@@ -109,7 +109,7 @@
     let address = shared.config.list_service;
     let socket = Socket::connect(&address, shared.connect_timeout()).ok()?;
     let socket = Arc::new(socket);
-    let silence_timeout = shared.limits().silence;
+    let silence_timeout = shared.limits().silence_timeout;
     socket.set_expiry(clock::now() + silence_timeout);
     shared.server_sweeper.watch(&socket);
     let request = list::subscribe(&address.to_string(), shared.names.front_name());
--- a/crates/daemon/src/membership_runner.rs
+++ b/crates/daemon/src/membership_runner.rs
@@ -97,7 +97,7 @@
     let opened = OpenedMembership {
         config: membership_config,
         socket,
-        address_overrides: config.ways.clone(),
+        address_overrides: config.address_overrides.clone(),
         commands,
         inbox,
     };
--- a/crates/daemon/src/player_listener.rs
+++ b/crates/daemon/src/player_listener.rs
@@ -21,7 +21,7 @@
 /// Starts a coroutine that pings silent players and closes the connections of those that stay silent. It ends when
 /// `is_stopped` is set.
 pub(crate) fn watch_idle_players(shared: Arc<Shared>, is_stopped: Arc<AtomicBool>) {
-    let idle_timeout = shared.limits().idle;
+    let idle_timeout = shared.limits().idle_timeout;
     spawn(Stack::Default, move || {
         while !is_stopped.load(Ordering::Acquire) {
             let now = clock::now();
@@ -36,14 +36,14 @@
     let socket = Arc::new(socket);
     let _open_connection = CountedConnection::open(shared.clone());
     let limits = shared.limits();
-    if shared.connections() > limits.connections {
+    if shared.connections() > limits.max_connections {
         return reject_connection(shared, &socket);
     }
-    socket.set_expiry(clock::now() + limits.handshake);
+    socket.set_expiry(clock::now() + limits.handshake_timeout);
     shared.player_sweeper.watch(&socket);
     let mut exchange = HttpExchange::new(socket.clone());
     loop {
-        let request = match exchange.request(MAX_BODY_BYTES, Some(limits.handshake)) {
+        let request = match exchange.request(MAX_BODY_BYTES, Some(limits.handshake_timeout)) {
             Ok((request, _)) => request,
             Err(ExchangeError::Malformed(reason)) => {
                 let problem = Problem::new(reason.status(), reason.detail());
@@ -59,7 +59,7 @@
         if socket.write_all(&response).is_err() || !keeps_alive {
             return socket.finish(CLOSE_TIMEOUT);
         }
-        socket.set_expiry(clock::now() + limits.handshake);
+        socket.set_expiry(clock::now() + limits.handshake_timeout);
     }
 }
 
--- a/crates/daemon/src/player_session.rs
+++ b/crates/daemon/src/player_session.rs
@@ -50,7 +50,7 @@
     let player = Arc::new(PlayerConnection::new(
         socket.clone(),
         handshake.version,
-        limits.unread,
+        limits.max_unsent_bytes,
     ));
     shared.register_player(&player);
     shared.send(EventLoopMessage::PlayerConnected {
@@ -64,8 +64,8 @@
     let config = WebSocketConfig::default()
         .read_buffer_size(READ_BUFFER_BYTES)
         .write_buffer_size(0)
-        .max_message_size(Some(limits.message))
-        .max_frame_size(Some(limits.message));
+        .max_message_size(Some(limits.max_message_bytes))
+        .max_frame_size(Some(limits.max_message_bytes));
     let mut context = WebSocketContext::from_partially_read(unread, Role::Server, Some(config));
     let close_status = read_messages(shared, &player, &mut context);
     drop(disconnect);
--- a/crates/daemon/src/server_link/controls.rs
+++ b/crates/daemon/src/server_link/controls.rs
@@ -113,6 +113,6 @@
     if !response.keeps_alive() || !exchange.is_buffer_empty() {
         return None;
     }
-    socket.set_expiry(clock::now() + shared.limits().pool_idle);
+    socket.set_expiry(clock::now() + shared.limits().pool_idle_timeout);
     Some(socket)
 }
--- a/crates/daemon/src/server_link/stream.rs
+++ b/crates/daemon/src/server_link/stream.rs
@@ -15,7 +15,8 @@
     /// Passes the events of the server's event stream to the event loop, and reopens the stream when it ends, until
     /// the link is idle.
     pub(super) fn follow_stream(&self, shared: &Shared) {
-        let mut reachability = ReachabilityTracker::new(clock::now(), shared.limits().silence);
+        let mut reachability =
+            ReachabilityTracker::new(clock::now(), shared.limits().silence_timeout);
         loop {
             let requested_at = clock::now();
             let failure = match self.open_stream(shared) {
@@ -38,7 +39,7 @@
     fn open_stream(&self, shared: &Shared) -> Result<Events, StreamFailure> {
         let socket = Socket::connect(&self.address, shared.connect_timeout());
         let socket = Arc::new(socket.map_err(|error| connect_failure(&error))?);
-        let silence_timeout = shared.limits().silence;
+        let silence_timeout = shared.limits().silence_timeout;
         socket.set_expiry(clock::now() + silence_timeout);
         shared.server_sweeper.watch(&socket);
         self.set_stream_socket(&socket);
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -116,7 +116,7 @@
 
     /// Longest time to connect to a server or to the list service.
     pub(crate) fn connect_timeout(&self) -> Duration {
-        self.config.limits.connect
+        self.config.limits.connect_timeout
     }
 
     /// Counts an accepted connection.
--- a/crates/fault-simulation/src/scenario/parser/actions.rs
+++ b/crates/fault-simulation/src/scenario/parser/actions.rs
@@ -26,7 +26,7 @@
         let min = self.optional_time(&min_path, &raw.least);
         let max = self.time(&format!("{path}.most"), &raw.most);
         self.checks
-            .must(min <= max, &min_path, "is greater than `most`");
+            .require(min <= max, &min_path, "is greater than `most`");
         Some(DelayRange {
             min,
             max: max.max(min),
--- a/crates/fault-simulation/src/scenario/parser/claims.rs
+++ b/crates/fault-simulation/src/scenario/parser/claims.rs
@@ -5,7 +5,7 @@
 
 impl Parser<'_, '_> {
     fn claim(&mut self, path: &str, name: &str, claim: Claim) -> CaseStep {
-        self.checks.must(
+        self.checks.require(
             !name.is_empty(),
             path,
             "has no claim: the text by which its result is reported",
@@ -34,7 +34,7 @@
             schema::State::Left => MemberState::Left,
             schema::State::Unstated => {
                 self.checks
-                    .wrong(path, "has no state: ALIVE, SUSPECT, GONE or LEFT");
+                    .report_problem(path, "has no state: ALIVE, SUSPECT, GONE or LEFT");
                 MemberState::Alive
             }
         }
@@ -45,7 +45,7 @@
             accusers: self.fronts(&format!("{path}.by"), &raw.by),
             except: self.fronts(&format!("{path}.but"), or_default(&raw.but, "none")),
             max_accusations: raw.most,
-            max_accusations_per_front: self.checks.within(
+            max_accusations_per_front: self.checks.number_in_range(
                 &format!("{path}.a_front"),
                 raw.a_front,
                 0.0,
@@ -63,7 +63,7 @@
             schema::Standing::CutOff => LocalHealth::Isolated,
             schema::Standing::Replaced => LocalHealth::Replaced,
             schema::Standing::Unknown => {
-                self.checks.wrong(
+                self.checks.report_problem(
                     path,
                     "has no as: ALONE, CONNECTED, DOUBTFUL, CUT_OFF or REPLACED",
                 );
@@ -92,7 +92,7 @@
             paid: raw.paid,
             min_fraction: self
                 .checks
-                .within(&format!("{path}.part"), raw.part, 0.01, 1.0),
+                .number_in_range(&format!("{path}.part"), raw.part, 0.01, 1.0),
             bound: self.bound(path, raw.bound.as_ref()),
         };
         self.claim(path, &raw.claim, claim)
--- a/crates/fault-simulation/src/scenario/parser/mod.rs
+++ b/crates/fault-simulation/src/scenario/parser/mod.rs
@@ -22,7 +22,7 @@
 /// The text has problems; all of them are returned, in the order of the text.
 pub fn parse(text: &str) -> Result<Case, Vec<Problem>> {
     let mut checks = Checks::new(text);
-    let raw = checks.structure::<schema::Case>(DESCRIPTOR_SET, "crankpaddle.fleet.v1.Case", "");
+    let raw = checks.parse_message::<schema::Case>(DESCRIPTOR_SET, "crankpaddle.fleet.v1.Case", "");
     let case = raw.map(|raw| {
         let mut parser = Parser {
             checks: &mut checks,
@@ -30,7 +30,7 @@
         };
         parser.case(&raw)
     });
-    checks.verdict(case)
+    checks.into_result(case)
 }
 
 /// Converts a case and collects its problems in `checks`. A field with a problem gets any valid value, which is never used
@@ -42,7 +42,8 @@
 
 impl Parser<'_, '_> {
     fn case(&mut self, raw: &schema::Case) -> Case {
-        self.checks.must(!raw.name.is_empty(), "name", "is missing");
+        self.checks
+            .require(!raw.name.is_empty(), "name", "is missing");
         for (index, group) in raw.group.iter().enumerate() {
             let fronts = self.fronts(&format!("group[{index}].fronts"), &group.fronts);
             self.groups.insert(group.name.clone(), fronts);
@@ -65,7 +66,7 @@
     fn step(&mut self, step_path: &str, raw: &schema::Step) -> CaseStep {
         use schema::step::Kind as Raw;
         let Some(kind) = &raw.kind else {
-            self.checks.wrong(
+            self.checks.report_problem(
                 step_path,
                 "is empty: an action, a claim, run or mark is needed",
             );
@@ -113,7 +114,7 @@
         match Fronts::parse(text, &self.groups) {
             Ok(fronts) => fronts,
             Err(error) => {
-                self.checks.wrong(path, error.to_string());
+                self.checks.report_problem(path, error.to_string());
                 Fronts::all()
             }
         }
@@ -121,7 +122,7 @@
 
     fn bound(&mut self, path: &str, raw: Option<&schema::Bound>) -> TimeBound {
         let Some(raw) = raw else {
-            self.checks.wrong(path, "has no bound");
+            self.checks.report_problem(path, "has no bound");
             return TimeBound {
                 base: Duration::ZERO,
                 per_decade: Duration::ZERO,
@@ -147,7 +148,7 @@
 
     /// Checks that a value is a fraction from 0 to 1.
     fn fraction(&mut self, path: &str, value: f64) -> f64 {
-        self.checks.within(path, value, 0.0, 1.0)
+        self.checks.number_in_range(path, value, 0.0, 1.0)
     }
 }
 
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -124,7 +124,7 @@
         for front in fronts.iter().copied() {
             self.membership_poll.set_address(front, None);
         }
-        let drain = self.backend.config.limits.drain;
+        let drain = self.backend.config.limits.drain_timeout;
         end_all(ending.iter_mut(), drain + PROCESS_END_GRACE)
     }
 
--- a/crates/testbed/src/scenario_runner/mod.rs
+++ b/crates/testbed/src/scenario_runner/mod.rs
@@ -142,7 +142,7 @@
     }
     // The fronts are ended before the result of the run is checked, so that an error leaves no front running.
     let mut faults = Vec::new();
-    let end_timeout = config.limits.drain + PROCESS_END_GRACE;
+    let end_timeout = config.limits.drain_timeout + PROCESS_END_GRACE;
     faults.extend(end_all(
         fronts.iter_mut().map(|front| &mut front.process),
         end_timeout,
--- a/crates/testbed/src/script/check.rs
+++ b/crates/testbed/src/script/check.rs
@@ -28,22 +28,22 @@
     fleet: impl Fn(&str) -> Result<String, E>,
 ) -> Result<Day, Vec<Problem>> {
     let mut checks = Checks::new(text);
-    let raw = checks.structure::<schema::Day>(DESCRIPTORS, DAY_MESSAGE, "");
+    let raw = checks.parse_message::<schema::Day>(DESCRIPTORS, DAY_MESSAGE, "");
     let day = raw.map(|raw| {
         check_required(&mut checks, &raw);
         let fleet_text = fleet(&raw.fleet).unwrap_or_else(|error| {
-            checks.wrong("fleet", error.to_string());
+            checks.report_problem("fleet", error.to_string());
             String::new()
         });
         check_day(&mut checks, &raw, fleet_text)
     });
-    checks.verdict(day)
+    checks.into_result(day)
 }
 
 fn check_required(checks: &mut Checks<'_>, raw: &schema::Day) {
-    checks.must(raw.servers.is_some(), "servers", "is missing");
-    checks.must(raw.traffic.is_some(), "traffic", "is missing");
-    checks.must(!raw.name.is_empty(), "name", "is missing");
+    checks.require(raw.servers.is_some(), "servers", "is missing");
+    checks.require(raw.traffic.is_some(), "traffic", "is missing");
+    checks.require(!raw.name.is_empty(), "name", "is missing");
 }
 
 /// The properties of a fleet that a script refers to.
@@ -63,7 +63,7 @@
         Err(problems) => {
             let first = problems.first().map(ToString::to_string);
             let first = first.unwrap_or_default();
-            checks.wrong("fleet", format!("is not a valid configuration: {first}"));
+            checks.report_problem("fleet", format!("is not a valid configuration: {first}"));
             FleetProperties {
                 zones: vec![],
                 classes: 0,
@@ -81,7 +81,7 @@
 fn check_server_count(checks: &mut Checks<'_>, count: u32, cells: u32) -> u32 {
     let count = checks.count("servers.count", count, 1, 500);
     if count < cells {
-        checks.wrong(
+        checks.report_problem(
             "servers.count",
             format!("is {count}, but the fleet's {cells} cells need at least one server each"),
         );
@@ -92,7 +92,7 @@
 fn check_shares(checks: &mut Checks<'_>, share: &[f64], classes: usize) {
     let sum = share.iter().sum::<f64>();
     let fits = classes == share.len() && (sum - 1.0).abs() < SHARE_TOLERANCE;
-    checks.must(
+    checks.require(
         fits,
         "traffic.share",
         "must have one value for each class, with the sum 1",
@@ -133,16 +133,21 @@
         servers: server_count,
         cores: checks.count("servers.cores", servers.cores, 1, 256),
         set_up_work: duration(checks, "servers.set_up_work", &servers.set_up_work),
-        bandwidth_spread: checks.within("servers.uneven", servers.uneven, 0.0, 0.9),
+        bandwidth_spread: checks.number_in_range("servers.uneven", servers.uneven, 0.0, 0.9),
         segment_length: duration(checks, "servers.segment", &servers.segment),
-        rate: checks.within("traffic.rate", traffic.rate, 0.001, 1e6),
+        rate: checks.number_in_range("traffic.rate", traffic.rate, 0.001, 1e6),
         class_shares: traffic.share.clone(),
         mean_watch_time: duration(checks, "traffic.watch", &traffic.watch),
-        zipf_exponent: checks.within("traffic.zipf", traffic.zipf, 0.0, 5.0),
-        return_fraction: checks.within("traffic.returns", traffic.returns, 0.0, 1.0),
+        zipf_exponent: checks.number_in_range("traffic.zipf", traffic.zipf, 0.0, 5.0),
+        return_fraction: checks.number_in_range("traffic.returns", traffic.returns, 0.0, 1.0),
         mean_return_delay: duration(checks, "traffic.back_after", &traffic.back_after),
-        retry_after_fraction: checks.within("traffic.honour", traffic.honour, 0.0, 1.0),
-        reconnect_fraction: checks.within("traffic.reconnect", traffic.reconnect, 0.0, 1.0),
+        retry_after_fraction: checks.number_in_range("traffic.honour", traffic.honour, 0.0, 1.0),
+        reconnect_fraction: checks.number_in_range(
+            "traffic.reconnect",
+            traffic.reconnect,
+            0.0,
+            1.0,
+        ),
         faults,
         list_delay: duration(checks, "list_delay", &raw.list_delay),
     }
@@ -170,11 +175,12 @@
         let length_path = self.field("length");
         let length = duration(self.checks, &length_path, &raw.length);
         let in_day = at < self.scope.day_length;
-        self.checks.must(in_day, &at_path, "is after the day's end");
+        self.checks
+            .require(in_day, &at_path, "is after the day's end");
         let servers = self.servers(raw);
         let names_servers = !needs_servers(raw.kind.as_ref()) || !servers.is_empty();
         self.checks
-            .must(names_servers, &self.path, "names no server and no zone");
+            .require(names_servers, &self.path, "names no server and no zone");
         let kind = self.kind(raw.kind.as_ref());
         ScheduledFault {
             at,
@@ -191,7 +197,7 @@
     /// Checks a value from 0 to 1.
     fn fraction(&mut self, field: &str, value: f64) -> f64 {
         let path = self.field(field);
-        self.checks.within(&path, value, 0.0, 1.0)
+        self.checks.number_in_range(&path, value, 0.0, 1.0)
     }
 
     /// Numbers of the servers that the fault names by number and by zone.
@@ -201,7 +207,7 @@
         if servers_of_fault.iter().any(|server| *server >= servers) {
             let path = self.field("server");
             let allowed = format!("allowed: 0 to {}", servers - 1);
-            self.checks.wrong(&path, allowed);
+            self.checks.report_problem(&path, allowed);
         }
         if raw.zone.is_empty() {
             return servers_of_fault;
@@ -213,14 +219,14 @@
             let path = self.field("zone");
             let known = zones.join(", ");
             let what = format!("{:?} is not a zone: {known}", raw.zone);
-            self.checks.wrong(&path, what);
+            self.checks.report_problem(&path, what);
         }
         servers_of_fault
     }
 
     fn kind(&mut self, raw: Option<&RawKind>) -> Kind {
         let Some(raw) = raw else {
-            self.checks.wrong(&self.path, MISSING_KIND);
+            self.checks.report_problem(&self.path, MISSING_KIND);
             return Kind::Hang;
         };
         match raw {
@@ -229,11 +235,14 @@
             RawKind::Crash(_) => Kind::Crash,
             RawKind::Vanish(_) => Kind::Vanish,
             RawKind::Slow(f) => {
-                Kind::Slow(self.checks.within(&self.field("slow.by"), f.by, 1.0, 100.0))
+                Kind::Slow(
+                    self.checks
+                        .number_in_range(&self.field("slow.by"), f.by, 1.0, 100.0),
+                )
             }
             RawKind::Burst(f) => {
                 let path = self.field("burst.times");
-                Kind::Burst(self.checks.within(&path, f.times, 0.0, 100.0))
+                Kind::Burst(self.checks.number_in_range(&path, f.times, 0.0, 100.0))
             }
             RawKind::Crowd(f) => {
                 Kind::LoadSurge(f.title as usize, self.fraction("crowd.part", f.part))
@@ -256,7 +265,7 @@
     fn stall(&mut self, raw: &schema::Stall) -> Kind {
         let path = self.field("stall.front");
         let known = raw.front.iter().all(|front| *front < self.scope.fronts);
-        self.checks.must(
+        self.checks.require(
             known,
             &path,
             "names a front that the scenario does not have",
--- a/crates/textproto/src/checks.rs
+++ b/crates/textproto/src/checks.rs
@@ -11,12 +11,12 @@
     /// The column in characters, starting from 1.
     pub column: usize,
     /// What is wrong and what is allowed. For a problem with a value, it starts with the path of the field.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}:{}: {}", self.line, self.column, self.what)
+        write!(formatter, "{}:{}: {}", self.line, self.column, self.message)
     }
 }
 
@@ -30,7 +30,7 @@
     /// Paths of fields that could not be parsed and were already reported.
     pub(crate) unreadable: BTreeSet<String>,
     /// The parsed text with defaults filled in; empty until it was parsed.
-    pub(crate) filled: String,
+    pub(crate) text_with_defaults: String,
 }
 
 impl<'a> Checks<'a> {
@@ -42,7 +42,7 @@
             nodes: locate::locate(text),
             problems: Vec::new(),
             unreadable: BTreeSet::new(),
-            filled: String::new(),
+            text_with_defaults: String::new(),
         }
     }
 
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// All problems, in the order of the file. Empty if there are none but `value` is `None`.
-    pub fn verdict<T>(mut self, value: Option<T>) -> Result<T, Vec<Problem>> {
+    pub fn into_result<T>(mut self, value: Option<T>) -> Result<T, Vec<Problem>> {
         self.problems.sort();
         self.problems.dedup();
         match value {
@@ -60,23 +60,27 @@
     }
 
     /// Reports a problem at a byte offset of the text.
-    pub(crate) fn wrong_at(&mut self, offset: usize, what: String) {
+    pub(crate) fn report_problem_at(&mut self, offset: usize, message: String) {
         let offset = offset.min(self.text.len());
         let before = &self.text[..self.text.floor_char_boundary(offset)];
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
-        self.problems.push(Problem { line, column, what });
+        self.problems.push(Problem {
+            line,
+            column,
+            message,
+        });
     }
 
     /// Reports a problem with a field, unless the field could not be parsed.
-    pub fn wrong(&mut self, path: &str, what: impl Into<String>) {
+    pub fn report_problem(&mut self, path: &str, message: impl Into<String>) {
         // A field that could not be parsed looks like a missing one, and was already reported.
         if self.is_unreadable(path) {
             return;
         }
         let offset = locate::find(&self.nodes, path);
-        let what: String = what.into();
-        self.wrong_at(offset, format!("{path}: {what}"));
+        let message: String = message.into();
+        self.report_problem_at(offset, format!("{path}: {message}"));
     }
 
     /// Whether the field, or a message that contains it, could not be parsed.
@@ -95,15 +99,15 @@
     }
 
     /// Reports a problem with a field unless the condition `holds`.
-    pub fn must(&mut self, holds: bool, path: &str, what: &str) {
+    pub fn require(&mut self, holds: bool, path: &str, message: &str) {
         if !holds {
-            self.wrong(path, what);
+            self.report_problem(path, message);
         }
     }
 
-    /// The text that [`Checks::structure`] parsed, in text format with defaults filled in; empty if it was not parsed.
+    /// The text that [`Checks::parse_message`] parsed, in text format with defaults filled in; empty if it was not parsed.
     #[must_use]
-    pub fn filled(&self) -> &str {
-        &self.filled
+    pub fn text_with_defaults(&self) -> &str {
+        &self.text_with_defaults
     }
 }
--- a/crates/textproto/src/structure.rs
+++ b/crates/textproto/src/structure.rs
@@ -14,7 +14,7 @@
     ///
     /// # Panics
     /// The schema or the defaults are malformed, which is a fault of the program, as both are compiled into it.
-    pub fn structure<T: prost::Message + Default>(
+    pub fn parse_message<T: prost::Message + Default>(
         &mut self,
         descriptors: &[u8],
         root: &str,
@@ -33,7 +33,8 @@
         let defaults = DynamicMessage::parse_text_format(descriptor, defaults)
             .expect("the defaults are part of this program");
         fill_defaults(&mut message, &defaults);
-        self.filled = message.to_text_format_with_options(&FormatOptions::new().pretty(true));
+        self.text_with_defaults =
+            message.to_text_format_with_options(&FormatOptions::new().pretty(true));
         message.transcode_to().ok()
     }
 
@@ -53,7 +54,7 @@
             let label = error.labels().and_then(|mut labels| labels.next());
             let offset = label.map_or(self.text.len(), |label| label.offset());
             let help = error.help().map(|help| format!(" ({help})"));
-            self.wrong_at(offset, format!("{error}{}", help.unwrap_or_default()));
+            self.report_problem_at(offset, format!("{error}{}", help.unwrap_or_default()));
             let (path, span) = innermost_field(nodes, offset)?;
             if text[span.clone()].trim().is_empty() {
                 return None;
@@ -73,7 +74,7 @@
     ) {
         for (node, node_path) in with_paths(nodes, path) {
             let Some(field) = message.get_field_by_name(&node.name) else {
-                self.wrong_at(node.start, unknown_field(&node.name, message, path));
+                self.report_problem_at(node.start, unknown_field(&node.name, message, path));
                 blank(text, node.start..node.end);
                 continue;
             };
--- a/crates/textproto/src/values.rs
+++ b/crates/textproto/src/values.rs
@@ -18,13 +18,13 @@
     /// Parses a quantity with a unit, which must be at least `min`; returns it in the unit that [`Unit`] states.
     pub fn measure(&mut self, path: &str, text: &str, unit: Unit, min: f64) -> f64 {
         if text.is_empty() {
-            self.wrong(path, format!("is missing: {}", unit.allowed()));
+            self.report_problem(path, format!("is missing: {}", unit.allowed()));
             return min;
         }
         match quantity(text, unit) {
             Ok(value) if value >= min => return value,
-            Ok(_) => self.wrong(path, format!("{text:?} is too small")),
-            Err(error) => self.wrong(path, error.to_string()),
+            Ok(_) => self.report_problem(path, format!("{text:?} is too small")),
+            Err(error) => self.report_problem(path, error.to_string()),
         }
         min
     }
@@ -45,9 +45,9 @@
     }
 
     /// Checks that a number is from `min` to `max`; returns `min` in place of any other.
-    pub fn within(&mut self, path: &str, value: f64, min: f64, max: f64) -> f64 {
+    pub fn number_in_range(&mut self, path: &str, value: f64, min: f64, max: f64) -> f64 {
         if !(min..=max).contains(&value) {
-            self.wrong(path, format!("is {value}; allowed: {min} to {max}"));
+            self.report_problem(path, format!("is {value}; allowed: {min} to {max}"));
             return min;
         }
         value
@@ -55,7 +55,7 @@
 
     /// Checks that an integer is from `min` to `max`; returns `min` in place of any other.
     pub fn count(&mut self, path: &str, value: u32, min: u32, max: u32) -> u32 {
-        self.within(path, f64::from(value), f64::from(min), f64::from(max)) as u32
+        self.number_in_range(path, f64::from(value), f64::from(min), f64::from(max)) as u32
     }
 
     /// Parses an IP address with a port.
@@ -64,22 +64,22 @@
             return address;
         }
         let problem = format!("{text:?} is not an address with a port such as \"127.0.0.1:7400\"");
-        self.wrong(path, problem);
+        self.report_problem(path, problem);
         PLACEHOLDER_ADDRESS.into()
     }
 
     /// Checks that the names in the repeated field `field` are present and unique. `name_suffix` is the path from an element to
     /// its name, such as `.name`, or empty if the elements themselves are the names.
-    pub fn names(&mut self, field: &str, name_suffix: &str, names: &[&str]) -> Vec<String> {
+    pub fn unique_names(&mut self, field: &str, name_suffix: &str, names: &[&str]) -> Vec<String> {
         let mut first_uses: HashMap<&str, usize> = HashMap::new();
         for (index, name) in names.iter().enumerate() {
             let path = format!("{field}[{index}]{name_suffix}");
             if name.is_empty() {
-                self.wrong(&path, "is missing: a name");
+                self.report_problem(&path, "is missing: a name");
             } else if let Some(first) = first_uses.insert(name, index) {
                 let problem =
                     format!("{name:?} is taken by {field}[{first}]; names must be unique");
-                self.wrong(&path, problem);
+                self.report_problem(&path, problem);
             }
         }
         names.iter().map(|name| (*name).to_owned()).collect()
