--- a/crates/benchmark/src/account.rs
+++ b/crates/benchmark/src/account.rs
@@ -4,7 +4,7 @@
 use crankpaddle_cross_zone_traffic::budget::{FrontPosition, SharedBudget};
 use crankpaddle_cross_zone_traffic::cross_zone_admission::CrossZoneLimit;
 use crankpaddle_cross_zone_traffic::traffic_controller::{
-    AttemptEnd, AttemptUsage, TrafficClass, TrafficConfig, TrafficController,
+    AttemptEnd, StartedAttempt, TrafficClass, TrafficConfig, TrafficController,
 };
 use crankpaddle_time::Time;
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
             },
         ],
         limits: vec![CrossZoneLimit {
-            from: 1,
+            from_zone: 1,
             class: None,
             shared,
         }],
@@ -73,9 +73,9 @@
 }
 
 /// The attempt with this id: two of three are of the class that is not paid, and servers are used in turn.
-fn attempt(id: u64) -> AttemptUsage {
+fn attempt(id: u64) -> StartedAttempt {
     let class = u8::from(!id.is_multiple_of(3));
-    AttemptUsage {
+    StartedAttempt {
         id,
         number: 0,
         server: (id % u64::from(SERVER_COUNT)) as u32,
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -46,7 +46,7 @@
 }
 
 fn fetch(front: &SocketAddr) -> Result<Members, CommandFailure> {
-    let body = crankpaddle_traffic_report::get(front, "/members", FETCH_TIMEOUT)
+    let body = crankpaddle_traffic_report::fetch_path(front, "/members", FETCH_TIMEOUT)
         .map_err(|error| CommandFailure::failed(format_args!("{front}: {error}")))?;
     serde_json::from_slice(&body).map_err(|error| {
         CommandFailure::failed(format_args!(
--- a/crates/cli/src/traffic.rs
+++ b/crates/cli/src/traffic.rs
@@ -2,7 +2,7 @@
 use crate::failure::{exit_code_of, CommandFailure};
 use clap::{Args, Subcommand, ValueEnum};
 use crankpaddle_cross_zone_traffic::report::{merge, TrafficReport};
-use crankpaddle_traffic_report::{csv, fetch, load, svg, table, watch_line};
+use crankpaddle_traffic_report::{fetch, format_csv, format_tables, load, plot_svg, watch_line};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -128,10 +128,10 @@
 
 fn render(report: &TrafficReport, format: OutputFormat) -> Result<String, CommandFailure> {
     Ok(match format {
-        OutputFormat::Table => table(report) + "\n",
-        OutputFormat::Csv => csv(report),
+        OutputFormat::Table => format_tables(report) + "\n",
+        OutputFormat::Csv => format_csv(report),
         OutputFormat::Json => serde_json::to_string_pretty(report)? + "\n",
-        OutputFormat::Plot => svg(report).map_err(CommandFailure::failed)?,
+        OutputFormat::Plot => plot_svg(report).map_err(CommandFailure::failed)?,
     })
 }
 
--- a/crates/config/src/check/budgets.rs
+++ b/crates/config/src/check/budgets.rs
@@ -40,7 +40,7 @@
             };
             if scope.to == Some(zones.own) {
                 limits.push(CrossZoneLimit {
-                    from: from as u8,
+                    from_zone: from as u8,
                     class: scope.class.map(|class| class as u8),
                     shared,
                 });
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -298,7 +298,7 @@
         panic!("{:?}", config.budgets)
     };
     assert_eq!(
-        (limit.from, limit.class, limit.shared.rate_kb),
+        (limit.from_zone, limit.class, limit.shared.rate_kb),
         (1, None, 5000.0)
     );
     assert_eq!(
--- a/crates/cross-zone-traffic/src/cross_zone_admission/budget_pool.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/budget_pool.rs
@@ -24,7 +24,7 @@
 impl From<&CrossZoneLimit> for BudgetKey {
     fn from(limit: &CrossZoneLimit) -> BudgetKey {
         BudgetKey {
-            zone: limit.from,
+            zone: limit.from_zone,
             class: limit.class,
         }
     }
--- a/crates/cross-zone-traffic/src/cross_zone_admission/quotas.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/quotas.rs
@@ -25,7 +25,7 @@
     /// The zones from which this front needs the usage reports of every server: those with a budget for which it has demand,
     /// or of which its quota is larger than an equal one.
     #[must_use]
-    pub fn zones_observed(&self, now: Time) -> BTreeSet<u8> {
+    pub fn zones_to_observe(&self, now: Time) -> BTreeSet<u8> {
         let needs_reports = |pool: &BudgetPool| {
             pool.adaptive_quota.has_demand(now) || pool.adaptive_quota.exceeds_equal_quota()
         };
--- a/crates/cross-zone-traffic/src/cross_zone_admission/status.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/status.rs
@@ -18,7 +18,7 @@
         let pool = self.pools.get(&key)?;
         Some(BudgetStatus {
             limit: CrossZoneLimit {
-                from: key.zone,
+                from_zone: key.zone,
                 class: key.class,
                 shared: *pool.budget.shared(),
             },
--- a/crates/cross-zone-traffic/src/cross_zone_admission/types.rs
+++ b/crates/cross-zone-traffic/src/cross_zone_admission/types.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CrossZoneLimit {
     /// The zone of the servers.
-    pub from: u8,
+    pub from_zone: u8,
     /// The only class to which the budget applies. `None` if it applies to all classes that have no budget of their own.
     pub class: Option<u8>,
     /// The limits that all fronts share.
--- a/crates/cross-zone-traffic/src/report/build.rs
+++ b/crates/cross-zone-traffic/src/report/build.rs
@@ -12,7 +12,7 @@
 impl TrafficReport {
     /// Creates the report of a front. `zone` is the zone of the front, and `names` are the names that the report contains
     /// instead of numbers.
-    pub fn of(
+    pub fn from_controller(
         controller: &mut TrafficController,
         front: u32,
         zone: u8,
@@ -43,7 +43,7 @@
 fn budget_report(status: &BudgetStatus, zone: u8, names: &TrafficNames) -> BudgetReport {
     let class = status.limit.class.map(|class| names.class(class));
     BudgetReport {
-        from: names.zone(status.limit.from),
+        from: names.zone(status.limit.from_zone),
         to: names.zone(zone),
         class: class.unwrap_or_default(),
         rate_kb: status.limit.shared.rate_kb,
--- a/crates/cross-zone-traffic/src/traffic_controller/attempts.rs
+++ b/crates/cross-zone-traffic/src/traffic_controller/attempts.rs
@@ -10,7 +10,7 @@
 
 /// An attempt to set up a session, with the properties by which its bytes are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AttemptUsage {
+pub struct StartedAttempt {
     /// Id of the attempt, and of the session if it succeeds. Ids are never reused.
     pub id: u64,
     /// Number of the attempt within its request: 0 for the first one, more for retries.
@@ -39,7 +39,7 @@
 /// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ActiveAttempt {
-    pub(super) usage: AttemptUsage,
+    pub(super) started: StartedAttempt,
     pub(super) flow: Flow,
     pub(super) is_established: bool,
 }
@@ -59,13 +59,13 @@
 }
 
 impl UncountedAttempts {
-    pub(super) fn insert(&mut self, usage: AttemptUsage, flow: Flow) {
+    pub(super) fn insert(&mut self, started: StartedAttempt, flow: Flow) {
         let attempt = ActiveAttempt {
-            usage,
+            started,
             flow,
             is_established: false,
         };
-        self.active.insert(usage.id, attempt);
+        self.active.insert(started.id, attempt);
     }
 
     pub(super) fn get(&self, id: u64) -> Option<&ActiveAttempt> {
--- a/crates/cross-zone-traffic/src/traffic_controller/mod.rs
+++ b/crates/cross-zone-traffic/src/traffic_controller/mod.rs
@@ -6,7 +6,7 @@
 mod config;
 mod server_zones;
 
-pub use attempts::{AttemptEnd, AttemptUsage};
+pub use attempts::{AttemptEnd, StartedAttempt};
 pub use config::{TrafficClass, TrafficConfig};
 
 use crate::cross_zone_admission::{
@@ -118,13 +118,13 @@
     }
 
     /// Records that a server was alive until `now`. It is not marked as up, because it may have been lost since.
-    pub fn server_alive(&mut self, server: u32, now: Time) {
+    pub fn record_server_alive(&mut self, server: u32, now: Time) {
         self.servers.record_message(server, now);
     }
 
     /// Handles a message from a server, which shows that the server is up.
     pub fn server_connected(&mut self, server: u32, now: Time) {
-        self.server_alive(server, now);
+        self.record_server_alive(server, now);
         let Some(zone) = self.servers.zone_of(server) else {
             return;
         };
@@ -169,7 +169,7 @@
     }
 
     /// Handles an attempt that was sent to its server.
-    pub fn attempt_started(&mut self, attempt: AttemptUsage) {
+    pub fn attempt_started(&mut self, attempt: StartedAttempt) {
         let server_zone = self.servers.zone_of(attempt.server);
         let flow = Flow {
             from: server_zone.unwrap_or(self.config.zone),
@@ -188,19 +188,19 @@
 
     /// Handles an attempt that became a session. Its bytes are counted from `now` on.
     pub fn session_established(&mut self, id: u64, now: Time) {
-        let Some(ActiveAttempt { usage, flow, .. }) = self.attempts.establish(id) else {
+        let Some(ActiveAttempt { started, flow, .. }) = self.attempts.establish(id) else {
             return;
         };
-        let rate_kb = self.config.rate_kb(usage.class, usage.rung);
+        let rate_kb = self.config.rate_kb(started.class, started.rung);
         self.account
-            .session_started(id, flow, usage.server, rate_kb, now);
+            .session_started(id, flow, started.server, rate_kb, now);
         if flow.crosses() {
             let start = CrossingSessionStart {
                 session_id: id,
                 from: flow.from,
                 class: flow.class,
                 rate_kb,
-                lowest_rate_kb: self.config.rate_kb(usage.class, LOWEST_RUNG),
+                lowest_rate_kb: self.config.rate_kb(started.class, LOWEST_RUNG),
                 overdraft_cause: self.overdraft_cause(),
             };
             self.admission.session_started(now, start);
@@ -221,7 +221,7 @@
         let Some(attempt) = self.attempts.get(id) else {
             return;
         };
-        let rate_kb = self.config.rate_kb(attempt.usage.class, rung);
+        let rate_kb = self.config.rate_kb(attempt.started.class, rung);
         self.account.rate_changed(id, rate_kb, now);
         self.admission.rate_changed(now, id, rate_kb);
     }
@@ -235,7 +235,7 @@
             self.attempts.await_final_count(id, attempt.flow, now);
             return;
         }
-        let last_message_at = self.servers.last_message_at(attempt.usage.server);
+        let last_message_at = self.servers.last_message_at(attempt.started.server);
         let ended_at = match (end, last_message_at) {
             (AttemptEnd::ServerLost, Some(last_message_at)) => last_message_at.min(now),
             _ => now,
@@ -271,13 +271,13 @@
 
     /// The zones from which this front currently needs the usage reports of every server.
     #[must_use]
-    pub fn zones_observed(&self, now: Time) -> BTreeSet<u8> {
-        self.admission.zones_observed(now)
+    pub fn zones_to_observe(&self, now: Time) -> BTreeSet<u8> {
+        self.admission.zones_to_observe(now)
     }
 
     /// Whether a server is up and listed in one of `zones`.
     #[must_use]
-    pub fn is_in_zones(&self, server: u32, zones: &BTreeSet<u8>) -> bool {
+    pub fn is_up_in_zones(&self, server: u32, zones: &BTreeSet<u8>) -> bool {
         self.servers.is_up_in(server, zones)
     }
 
--- a/crates/cross-zone-traffic/tests/cross_zone_admission.rs
+++ b/crates/cross-zone-traffic/tests/cross_zone_admission.rs
@@ -27,9 +27,9 @@
 const PAID: u8 = 1;
 const SERVERS: u32 = 10;
 
-fn limit(from: u8, shared: SharedBudget) -> CrossZoneLimit {
+fn limit(from_zone: u8, shared: SharedBudget) -> CrossZoneLimit {
     CrossZoneLimit {
-        from,
+        from_zone,
         class: None,
         shared,
     }
@@ -140,7 +140,7 @@
                 break;
             };
             for front in &mut self.fronts {
-                if front.zones_observed(self.now).contains(&1) {
+                if front.zones_to_observe(self.now).contains(&1) {
                     for (server, rate_kb_by_class) in by_server.iter().enumerate() {
                         front.usage_reported(1, server as u32, at, rate_kb_by_class.clone());
                     }
@@ -522,7 +522,7 @@
     };
     let limits = [
         CrossZoneLimit {
-            from: 1,
+            from_zone: 1,
             class: Some(PAID),
             shared: paid_class_budget,
         },
--- a/crates/cross-zone-traffic/tests/report_digits.rs
+++ b/crates/cross-zone-traffic/tests/report_digits.rs
@@ -4,7 +4,7 @@
 use crankpaddle_cross_zone_traffic::cross_zone_admission::{CrossZoneLimit, PolicyChange};
 use crankpaddle_cross_zone_traffic::report::{merge, TrafficNames, TrafficReport};
 use crankpaddle_cross_zone_traffic::traffic_controller::{
-    AttemptEnd, AttemptUsage, TrafficClass, TrafficConfig, TrafficController,
+    AttemptEnd, StartedAttempt, TrafficClass, TrafficConfig, TrafficController,
 };
 use crankpaddle_time::Time;
 use oorandom::Rand64;
@@ -34,7 +34,7 @@
     }
 }
 
-fn limit(from: u8, class: Option<u8>, rate_kb: f64, volume_bytes: f64) -> CrossZoneLimit {
+fn limit(from_zone: u8, class: Option<u8>, rate_kb: f64, volume_bytes: f64) -> CrossZoneLimit {
     let shared = SharedBudget {
         rate_kb,
         burst_bytes: rate_kb * 7000.0,
@@ -43,7 +43,7 @@
         max_repayment_time: 20 * SECOND,
     };
     CrossZoneLimit {
-        from,
+        from_zone,
         class,
         shared,
     }
@@ -118,7 +118,7 @@
         let id = self.last_id;
         let class = self.random_below(u64::from(CLASSES)) as u8;
         self.controller.session_requested(class, now);
-        let attempt = AttemptUsage {
+        let attempt = StartedAttempt {
             id,
             number: self.random_below(2) as u8,
             server: self.random_below(u64::from(SERVERS)) as u32,
@@ -198,14 +198,14 @@
             } = change;
             self.decision_log += &format!("{zone} {class} {policy:?} ");
         }
-        self.decision_log += &format!("{:?}\n", self.controller.zones_observed(now));
+        self.decision_log += &format!("{:?}\n", self.controller.zones_to_observe(now));
         while !self.controller.settle_usage(now, 7) {}
         let budgets = self.report(now).budgets;
         self.decision_log += &serde_json::to_string(&budgets).unwrap();
     }
 
     fn report(&mut self, now: Time) -> TrafficReport {
-        TrafficReport::of(&mut self.controller, self.front, 0, &names(), now)
+        TrafficReport::from_controller(&mut self.controller, self.front, 0, &names(), now)
     }
 }
 
@@ -269,7 +269,7 @@
         let mut controller = controller(0);
         assert!(controller.restore(&report.saved_flows(&names)));
         let now = START + (SIMULATED_SECONDS + 60) * SECOND;
-        let restored = TrafficReport::of(&mut controller, 0, 0, &names, now);
+        let restored = TrafficReport::from_controller(&mut controller, 0, 0, &names, now);
         digest(&serde_json::to_string(&restored).unwrap())
     });
     assert_eq!(
--- a/crates/cross-zone-traffic/tests/traffic_controller.rs
+++ b/crates/cross-zone-traffic/tests/traffic_controller.rs
@@ -6,7 +6,7 @@
 };
 use crankpaddle_cross_zone_traffic::report::{merge, TrafficNames, TrafficReport};
 use crankpaddle_cross_zone_traffic::traffic_controller::{
-    AttemptEnd, AttemptUsage, TrafficClass, TrafficConfig, TrafficController,
+    AttemptEnd, StartedAttempt, TrafficClass, TrafficConfig, TrafficController,
 };
 use crankpaddle_cross_zone_traffic::usage_accounting::Purpose;
 use crankpaddle_time::Time;
@@ -54,7 +54,7 @@
             },
         ],
         limits: vec![CrossZoneLimit {
-            from: 1,
+            from_zone: 1,
             class: None,
             shared,
         }],
@@ -79,8 +79,8 @@
     }
 }
 
-fn attempt(id: u64, server: u32, class: u8) -> AttemptUsage {
-    AttemptUsage {
+fn attempt(id: u64, server: u32, class: u8) -> StartedAttempt {
+    StartedAttempt {
         id,
         number: 0,
         server,
@@ -101,7 +101,7 @@
 }
 
 fn report(controller: &mut TrafficController, now: Time) -> TrafficReport {
-    TrafficReport::of(controller, 7, 0, &names(), now)
+    TrafficReport::from_controller(controller, 7, 0, &names(), now)
 }
 
 #[test]
@@ -163,7 +163,7 @@
 fn every_attempt_is_counted_once_under_its_purpose() {
     let mut controller = new_controller(1e6);
     start_session(&mut controller, 1, 1, PREVIEW, START);
-    controller.attempt_started(AttemptUsage {
+    controller.attempt_started(StartedAttempt {
         number: 1,
         group: 1,
         ..attempt(2, 11, PREVIEW)
@@ -210,7 +210,7 @@
         controller.server_connected(11, now);
     }
     // The process and the connection of server 12 end at 3 s. Server 11 sends nothing after 5.5 s.
-    controller.server_alive(12, START + 3 * SECOND);
+    controller.record_server_alive(12, START + 3 * SECOND);
     controller.attempt_ended(1, AttemptEnd::ServerLost, START + 9 * SECOND);
     controller.attempt_ended(2, AttemptEnd::ServerLost, START + 9 * SECOND);
     settle(&mut controller, START + 60 * SECOND);
@@ -233,13 +233,13 @@
     for server in [1, 11, 12] {
         controller.endpoint_listed(server, u8::from(server > 10), true);
     }
-    assert!(controller.zones_observed(START).is_empty());
+    assert!(controller.zones_to_observe(START).is_empty());
     (100..104).for_each(|id| start_session(&mut controller, id, 11, PREVIEW, START));
     controller.session_requested(PREVIEW, START);
-    assert_eq!(controller.zones_observed(START), BTreeSet::from([1]));
+    assert_eq!(controller.zones_to_observe(START), BTreeSet::from([1]));
     assert!(
-        controller.is_in_zones(12, &controller.zones_observed(START))
-            && !controller.is_in_zones(1, &controller.zones_observed(START))
+        controller.is_up_in_zones(12, &controller.zones_to_observe(START))
+            && !controller.is_up_in_zones(1, &controller.zones_to_observe(START))
     );
     let mut quotas = Vec::new();
     for seconds in 1..=6u32 {
@@ -258,14 +258,14 @@
         "{quotas:?}"
     );
     controller.server_lost(12);
-    assert!(!controller.is_in_zones(12, &BTreeSet::from([1])));
+    assert!(!controller.is_up_in_zones(12, &BTreeSet::from([1])));
     // A server that is missing from a complete endpoint list is no longer up, so its report is not needed.
     controller.endpoint_listed(13, 1, true);
-    assert!(controller.is_in_zones(13, &BTreeSet::from([1])));
+    assert!(controller.is_up_in_zones(13, &BTreeSet::from([1])));
     controller.retain_endpoints(&BTreeSet::from([1, 11, 12]));
     assert!(
-        !controller.is_in_zones(13, &BTreeSet::from([1]))
-            && controller.is_in_zones(11, &BTreeSet::from([1]))
+        !controller.is_up_in_zones(13, &BTreeSet::from([1]))
+            && controller.is_up_in_zones(11, &BTreeSet::from([1]))
     );
 }
 
--- a/crates/daemon/src/event_loop/maintenance.rs
+++ b/crates/daemon/src/event_loop/maintenance.rs
@@ -40,11 +40,11 @@
     /// Subscribes to servers without sessions whose reports are needed, either for budgets or because the list
     /// service is unavailable and does not report server starts.
     fn update_report_subscriptions(&mut self, now: Time) {
-        let zones = self.traffic.controller.zones_observed(now);
+        let zones = self.traffic.controller.zones_to_observe(now);
         for (server, state) in &self.servers {
             let Some(link) = &state.link else { continue };
-            let needs_reports =
-                self.is_list_unavailable || self.traffic.controller.is_in_zones(server.0, &zones);
+            let needs_reports = self.is_list_unavailable
+                || self.traffic.controller.is_up_in_zones(server.0, &zones);
             link.set_needs_reports(&self.shared, needs_reports);
         }
     }
--- a/crates/daemon/src/event_loop/server_messages.rs
+++ b/crates/daemon/src/event_loop/server_messages.rs
@@ -134,7 +134,9 @@
     }
 
     fn stream_closed(&mut self, server: ServerId) {
-        self.traffic.controller.server_alive(server.0, clock::now());
+        self.traffic
+            .controller
+            .record_server_alive(server.0, clock::now());
     }
 
     /// Ends the sessions of a server that can't be reached. `requested_at` is the time of the request that failed;
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -5,7 +5,7 @@
 use crankpaddle_cross_zone_traffic::budget::FrontPosition;
 use crankpaddle_cross_zone_traffic::report::{TrafficNames, TrafficReport};
 use crankpaddle_cross_zone_traffic::traffic_controller::{
-    AttemptUsage, TrafficClass, TrafficConfig, TrafficController,
+    StartedAttempt, TrafficClass, TrafficConfig, TrafficController,
 };
 use crankpaddle_front::{AttemptId, ServerId, SetUpOrder};
 use crankpaddle_net::clock;
@@ -149,7 +149,7 @@
         order: &SetUpOrder,
     ) {
         let group = self.groups_by_title.get(&order.title);
-        self.controller.attempt_started(AttemptUsage {
+        self.controller.attempt_started(StartedAttempt {
             id: attempt.0,
             number,
             server: server.0,
@@ -214,7 +214,7 @@
 
     /// The traffic report as JSON.
     pub(crate) fn report(&mut self) -> String {
-        let report = TrafficReport::of(
+        let report = TrafficReport::from_controller(
             &mut self.controller,
             self.replica_index,
             self.zone,
--- a/crates/testbed/src/membership_poll.rs
+++ b/crates/testbed/src/membership_poll.rs
@@ -107,7 +107,8 @@
         drop(state);
         let Some(address) = address else { return };
         // A front whose process is stopped does not answer. It is polled again later.
-        let Ok(body) = crankpaddle_traffic_report::get(&address, "/members", POLL_TIMEOUT) else {
+        let Ok(body) = crankpaddle_traffic_report::fetch_path(&address, "/members", POLL_TIMEOUT)
+        else {
             return;
         };
         let now = clock::now();
--- a/crates/traffic-report/src/lib.rs
+++ b/crates/traffic-report/src/lib.rs
@@ -7,6 +7,6 @@
 mod text;
 
 pub use error::{PlotError, SourceError};
-pub use plot::svg;
-pub use source::{fetch, get, load};
-pub use text::{csv, table, watch_line};
+pub use plot::plot_svg;
+pub use source::{fetch, fetch_path, load};
+pub use text::{format_csv, format_tables, watch_line};
--- a/crates/traffic-report/src/plot.rs
+++ b/crates/traffic-report/src/plot.rs
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 /// Fails if the report contains no traffic between zones in recent minutes, or if the plot could not be drawn.
-pub fn svg(report: &TrafficReport) -> Result<String, PlotError> {
+pub fn plot_svg(report: &TrafficReport) -> Result<String, PlotError> {
     let data = PlotData::new(report)?;
     let mut text = String::new();
     let area = SVGBackend::with_string(&mut text, PLOT_SIZE_PX).into_drawing_area();
--- a/crates/traffic-report/src/plot/tests.rs
+++ b/crates/traffic-report/src/plot/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn a_plot_labels_its_lines_and_a_report_without_traffic_is_an_error() {
-    assert!(svg(&TrafficReport::default()).is_err());
+    assert!(plot_svg(&TrafficReport::default()).is_err());
     let minutes = (0..5)
         .map(|minute| ByteTotals {
             at_ms: minute * MINUTE_MS,
@@ -19,7 +19,7 @@
         minutes,
         ..FlowReport::default()
     };
-    let text = svg(&TrafficReport {
+    let text = plot_svg(&TrafficReport {
         flows: vec![flow],
         ..TrafficReport::default()
     })
--- a/crates/traffic-report/src/source.rs
+++ b/crates/traffic-report/src/source.rs
@@ -18,7 +18,7 @@
 /// # Errors
 /// Fails if the front does not respond within the timeout, or not with a report.
 pub fn fetch(front: &SocketAddr, timeout: Duration) -> Result<TrafficReport, SourceError> {
-    let body = get(front, "/traffic", timeout)?;
+    let body = fetch_path(front, "/traffic", timeout)?;
     Ok(serde_json::from_slice(&body)?)
 }
 
@@ -35,7 +35,11 @@
 ///
 /// # Errors
 /// Fails if the front does not respond within the timeout, or not with status 200.
-pub fn get(front: &SocketAddr, path: &str, timeout: Duration) -> Result<Vec<u8>, SourceError> {
+pub fn fetch_path(
+    front: &SocketAddr,
+    path: &str,
+    timeout: Duration,
+) -> Result<Vec<u8>, SourceError> {
     let response = send_request(front, path, timeout)?;
     parse_body(&response)
 }
--- a/crates/traffic-report/src/text.rs
+++ b/crates/traffic-report/src/text.rs
@@ -86,7 +86,7 @@
 
 /// Formats the flows and budgets as tables, followed by the numbers of unsettled sessions and of dropped counts.
 #[must_use]
-pub fn table(report: &TrafficReport) -> String {
+pub fn format_tables(report: &TrafficReport) -> String {
     let flow_rows: Vec<_> = report.flows.iter().map(flow_row).collect();
     let mut text = aligned_columns(&FLOW_COLUMNS, &flow_rows);
     if !report.budgets.is_empty() {
@@ -201,7 +201,7 @@
 /// Formats the flows as CSV according to RFC 4180: for each flow, a row with its totals, in which the hour is empty, and a row
 /// for each recent hour.
 #[must_use]
-pub fn csv(report: &TrafficReport) -> String {
+pub fn format_csv(report: &TrafficReport) -> String {
     let mut lines = vec![CSV_HEADER.to_owned()];
     for flow in &report.flows {
         let name_cells = csv_name_cells(flow);
--- a/crates/traffic-report/src/text/tests.rs
+++ b/crates/traffic-report/src/text/tests.rs
@@ -39,7 +39,7 @@
 
 #[test]
 fn tables_are_aligned_and_show_the_usage_of_budgets() {
-    let text = table(&report());
+    let text = format_tables(&report());
     let lines: Vec<&str> = text.lines().collect();
     let bytes_column = lines[0].find("BYTES").unwrap();
     assert!(
@@ -55,7 +55,7 @@
 
 #[test]
 fn csv_cells_are_quoted_where_required_and_all_lines_have_the_same_number_of_cells() {
-    let text = csv(&report());
+    let text = format_csv(&report());
     assert_eq!(text.matches("\r\n").count(), 3);
     assert!(
         text.contains("south,north,\"a \"\"quoted\"\", class\",,,playing,true,3600000,1234567,,,,")
--- a/crates/traffic-report/tests/printed_bytes.rs
+++ b/crates/traffic-report/tests/printed_bytes.rs
@@ -1,6 +1,6 @@
 //! Checks that the printed texts and the plot of a report stay the same byte for byte, by their digests.
 use crankpaddle_cross_zone_traffic::report::{BudgetReport, ByteTotals, FlowReport, TrafficReport};
-use crankpaddle_traffic_report::{csv, load, svg, table, watch_line};
+use crankpaddle_traffic_report::{format_csv, format_tables, load, plot_svg, watch_line};
 
 const MINUTE_MS: u64 = 60_000;
 
@@ -76,16 +76,16 @@
     let report = report();
     let empty_report = TrafficReport::default();
     assert_eq!(
-        svg(&empty_report).unwrap_err().to_string(),
+        plot_svg(&empty_report).unwrap_err().to_string(),
         "no traffic between zones in recent minutes"
     );
     let texts = [
-        table(&report),
-        csv(&report),
+        format_tables(&report),
+        format_csv(&report),
         watch_line(&report),
-        svg(&report).unwrap(),
-        table(&empty_report),
-        csv(&empty_report),
+        plot_svg(&report).unwrap(),
+        format_tables(&empty_report),
+        format_csv(&empty_report),
         watch_line(&empty_report),
     ];
     assert_eq!(
