--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -2,7 +2,9 @@
 //! as a further member of the fleet.
 mod support;
 
-use crankpaddle_membership::{MemberChange, MemberState, Membership, MembershipConfig, Output};
+use crankpaddle_membership::{
+    MemberChange, MemberState, Membership, MembershipConfig, MembershipOutput,
+};
 use crankpaddle_time::Time;
 use procfs::process::{FDTarget, Process};
 use rustix::process::Signal;
@@ -112,16 +114,16 @@
         }
     }
 
-    fn execute(&mut self, output: Output) {
+    fn execute(&mut self, output: MembershipOutput) {
         match output {
-            Output::Send { address, bytes, .. } => {
+            MembershipOutput::Send { address, bytes, .. } => {
                 let _ = self.socket.send_to(&bytes, address); // An error is ignored, because the front may have ended.
             }
-            Output::MemberChanged(change) => self.changes.push(ObservedChange {
+            MembershipOutput::MemberChanged(change) => self.changes.push(ObservedChange {
                 at: Instant::now(),
                 change,
             }),
-            Output::LocalHealthChanged(_) => {}
+            MembershipOutput::LocalHealthChanged(_) => {}
         }
     }
 
--- a/crates/daemon/src/errors.rs
+++ b/crates/daemon/src/errors.rs
@@ -50,7 +50,7 @@
     /// The store can't be used.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Store(#[from] crankpaddle_store::Error),
+    Store(#[from] crankpaddle_store::StoreError),
 }
 
 /// What is wrong with a file that a previous incarnation saved.
@@ -107,7 +107,7 @@
                 source: KeyFileError::Malformed,
             },
         ];
-        let store_samples = crankpaddle_store::Error::samples();
+        let store_samples = crankpaddle_store::StoreError::samples();
         samples.extend(store_samples.into_iter().map(StartError::Store));
         samples
     }
--- a/crates/daemon/src/event_loop/previous_incarnation.rs
+++ b/crates/daemon/src/event_loop/previous_incarnation.rs
@@ -84,7 +84,7 @@
         let shared = Arc::clone(&self.shared);
         StoreWriter::start(
             store,
-            move |token, result: Result<(), &crankpaddle_store::Error>| {
+            move |token, result: Result<(), &crankpaddle_store::StoreError>| {
                 shared.send(EventLoopMessage::IntentWritten {
                     attempt: AttemptId(token),
                     is_durable: result.is_ok(),
--- a/crates/daemon/src/event_loop/reconciliation.rs
+++ b/crates/daemon/src/event_loop/reconciliation.rs
@@ -8,8 +8,8 @@
     StageEvidence, Time,
 };
 use crankpaddle_net::clock;
-use crankpaddle_recovery::intents::milliseconds;
-use crankpaddle_recovery::reconciliation::{ReconciliationStep, Resolution};
+use crankpaddle_recovery::intents::whole_milliseconds;
+use crankpaddle_recovery::reconciliation::{ReconciliationRequest, Resolution};
 use crankpaddle_recovery::{IntentOutcome, Key, Reconciliation};
 use crankpaddle_server_protocol::session_inventory::SessionInventory;
 use std::time::Duration;
@@ -34,9 +34,9 @@
             .map(|endpoint| endpoint.server.0)
             .collect();
         if !present.is_empty() {
-            let steps = durable.reconciliation.update_servers(present);
+            let requests = durable.reconciliation.update_servers(present);
             self.handle_core_input(Input::EndpointsKnown);
-            self.perform_steps(steps);
+            self.send_reconciliation_requests(requests);
         }
         true
     }
@@ -53,17 +53,20 @@
         }
     }
 
-    fn perform_steps(&mut self, steps: impl IntoIterator<Item = ReconciliationStep>) {
-        for step in steps {
-            self.perform_step(step);
+    fn send_reconciliation_requests(
+        &mut self,
+        requests: impl IntoIterator<Item = ReconciliationRequest>,
+    ) {
+        for request in requests {
+            self.send_reconciliation_request(request);
         }
         self.check_reconciliation_complete();
     }
 
-    fn perform_step(&mut self, step: ReconciliationStep) {
-        let server = match &step {
-            ReconciliationStep::RequestInventory(server)
-            | ReconciliationStep::Fence { server, .. } => ServerId(*server),
+    fn send_reconciliation_request(&mut self, request: ReconciliationRequest) {
+        let server = match &request {
+            ReconciliationRequest::RequestInventory(server)
+            | ReconciliationRequest::Fence { server, .. } => ServerId(*server),
         };
         let state = self.servers.get(&server);
         let Some(link) = state.and_then(|state| state.link.as_ref()) else {
@@ -71,11 +74,11 @@
             return;
         };
         let shared = self.shared.clone();
-        match step {
-            ReconciliationStep::RequestInventory(_) => {
+        match request {
+            ReconciliationRequest::RequestInventory(_) => {
                 inventory_client::request_inventory(shared, server, link.address);
             }
-            ReconciliationStep::Fence { attempt_name, .. } => {
+            ReconciliationRequest::Fence { attempt_name, .. } => {
                 inventory_client::fence_attempt(shared, server, link.address, attempt_name);
             }
         }
@@ -96,20 +99,20 @@
         attempt_name: &str,
         is_confirmed: bool,
     ) {
-        let step = self.reconcile(|state| {
+        let request = self.reconcile(|state| {
             if !is_confirmed {
                 state.server_unreachable(server.0);
                 return None;
             }
             state.fence_confirmed(server.0, attempt_name)
         });
-        self.perform_steps(step);
+        self.send_reconciliation_requests(request);
     }
 
     /// Requests the inventory of a server again if it was unreachable before.
     pub(super) fn retry_reconciliation(&mut self, server: ServerId) {
-        let step = self.reconcile(|state| state.server_reachable(server.0));
-        self.perform_steps(step);
+        let request = self.reconcile(|state| state.server_reachable(server.0));
+        self.send_reconciliation_requests(request);
     }
 
     pub(super) fn inventory_unavailable(&mut self, server: ServerId) {
@@ -133,7 +136,7 @@
         });
         tracing::info!(
             server_id = server.0,
-            age_ms = milliseconds(clock::now().duration_since(started_at)),
+            age_ms = whole_milliseconds(clock::now().duration_since(started_at)),
             resolutions = ?outcome.resolutions,
             "session inventory received"
         );
@@ -141,7 +144,7 @@
         for resolution in outcome.resolutions {
             self.apply_resolution(resolution);
         }
-        self.perform_steps(outcome.steps);
+        self.send_reconciliation_requests(outcome.requests);
     }
 
     /// Records when a server started. If service resumed before the server's first inventory arrived, its start was
--- a/crates/daemon/src/event_loop/status.rs
+++ b/crates/daemon/src/event_loop/status.rs
@@ -3,7 +3,7 @@
 use super::EventLoop;
 use crankpaddle_api::describe::{Fleet, ReturnStep, StoreState};
 use crankpaddle_net::clock;
-use crankpaddle_recovery::intents::milliseconds;
+use crankpaddle_recovery::intents::whole_milliseconds;
 
 impl EventLoop {
     /// The status; `None` if no store is configured.
@@ -31,7 +31,7 @@
         let steps = transitions.map(|transition| ReturnStep {
             stage: transition.stage.into(),
             why: transition.evidence.into(),
-            ago_ms: milliseconds(now.duration_since(transition.at)),
+            ago_ms: whole_milliseconds(now.duration_since(transition.at)),
         });
         steps.collect()
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -97,7 +97,7 @@
     /// Those of [`Daemon::start`].
     pub fn start_on(
         config: Config,
-        open_store: impl FnOnce(&str) -> Result<OpenedStore, crankpaddle_store::Error>,
+        open_store: impl FnOnce(&str) -> Result<OpenedStore, crankpaddle_store::StoreError>,
     ) -> Result<Daemon, StartError> {
         let store = config.store.as_ref();
         let opened = store
--- a/crates/daemon/src/membership_runner.rs
+++ b/crates/daemon/src/membership_runner.rs
@@ -9,7 +9,7 @@
 use crankpaddle_api::describe::Members;
 use crankpaddle_config::Peers as PeersConfig;
 use crankpaddle_membership::{
-    LocalHealth, MemberChange, MemberState, Membership, MembershipConfig, Output,
+    LocalHealth, MemberChange, MemberState, Membership, MembershipConfig, MembershipOutput,
 };
 use crankpaddle_net::{clock, drain_queue, recv_until, spawn, Stack};
 use crankpaddle_time::Time;
@@ -171,7 +171,7 @@
     membership: Membership,
     socket: Arc<UdpSocket>,
     address_overrides: HashMap<String, SocketAddr>,
-    outputs: Vec<Output>,
+    outputs: Vec<MembershipOutput>,
     history: ChangeHistory,
     on_fleet_size: Box<dyn Fn(u32) + Send>,
     /// The number last passed to `on_fleet_size`; 0 before the first call.
@@ -231,19 +231,19 @@
         let mut outputs = std::mem::take(&mut self.outputs);
         for output in outputs.drain(..) {
             match output {
-                Output::Send {
+                MembershipOutput::Send {
                     name,
                     address,
                     bytes,
                 } => self.send_datagram(&name, &address, &bytes),
-                Output::MemberChanged(change) => self.member_changed(change),
-                Output::LocalHealthChanged(LocalHealth::Replaced) => {
+                MembershipOutput::MemberChanged(change) => self.member_changed(change),
+                MembershipOutput::LocalHealthChanged(LocalHealth::Replaced) => {
                     tracing::error!(
                         reason = "another process joined the fleet under this front's name",
                         "membership stopped"
                     );
                 }
-                Output::LocalHealthChanged(local_health) => {
+                MembershipOutput::LocalHealthChanged(local_health) => {
                     tracing::info!(?local_health, "local health changed");
                 }
             }
--- a/crates/daemon/src/membership_status.rs
+++ b/crates/daemon/src/membership_status.rs
@@ -1,6 +1,6 @@
 //! The reply to `GET /members`: this front's view of its peers.
 use crankpaddle_api::describe::{Members, OwnStanding, Peer, PeerState, PeerTurn};
-use crankpaddle_membership::{LocalHealth, Member, MemberChange, MemberState, Membership};
+use crankpaddle_membership::{LocalHealth, MemberChange, MemberSnapshot, MemberState, Membership};
 use crankpaddle_time::Time;
 use std::collections::VecDeque;
 
@@ -69,7 +69,7 @@
     }
 }
 
-fn describe_member(now: Time, member: Member) -> Peer {
+fn describe_member(now: Time, member: MemberSnapshot) -> Peer {
     Peer {
         name: member.name,
         address: member.address,
--- a/crates/daemon/src/recovered_state.rs
+++ b/crates/daemon/src/recovered_state.rs
@@ -4,7 +4,7 @@
 use crankpaddle_config::Store as StoreConfig;
 use crankpaddle_recovery::{ConservativeBound, PreviousShutdown, RecoveredState, StillValid};
 use crankpaddle_server_protocol::sessions;
-use crankpaddle_store::{Error, OpenedStore, QuarantinedFile, Store};
+use crankpaddle_store::{OpenedStore, QuarantinedFile, Store, StoreError};
 use std::time::Duration;
 
 /// An opened store and the state that was recovered from it.
@@ -29,14 +29,14 @@
 /// Like [`open`], but opens the store with `open_store`, whose argument identifies the host's boot.
 pub(crate) fn open_with(
     config: &StoreConfig,
-    open_store: impl FnOnce(&str) -> Result<OpenedStore, Error>,
+    open_store: impl FnOnce(&str) -> Result<OpenedStore, StoreError>,
 ) -> Result<OpenedState, StartError> {
     let key = key_file::read_key(&config.key_file)?;
     let front_name = sessions::front_name(&key, &config.name);
     let boot_id = read_boot_id(config);
     let opened = match open_store(boot_id.trim()) {
         Ok(opened) => opened,
-        Err(error @ Error::Disk { .. }) => {
+        Err(error @ StoreError::Disk { .. }) => {
             tracing::error!(
                 reason = %error,
                 help = error.help_text(),
--- a/crates/daemon/tests/described/http.rs
+++ b/crates/daemon/tests/described/http.rs
@@ -2,7 +2,7 @@
 use crate::start_harness;
 use crate::support::{wait_until, Harness, FREE, PAID};
 use crate::transcript::{open_params, reason, RecordedPlayer, Transcript};
-use crankpaddle_membership::{Membership, MembershipConfig, Output};
+use crankpaddle_membership::{Membership, MembershipConfig, MembershipOutput};
 use crankpaddle_session_api::SessionApiVersion;
 use crankpaddle_time::Time;
 use serde_json::json;
@@ -90,7 +90,7 @@
         }
         membership.expire(now(), &mut outputs);
         for output in outputs {
-            if let Output::Send { address, bytes, .. } = output {
+            if let MembershipOutput::Send { address, bytes, .. } = output {
                 let _ = socket.send_to(&bytes, address); // The protocol tolerates lost datagrams.
             }
         }
--- a/crates/fault-simulation/src/simulated_network.rs
+++ b/crates/fault-simulation/src/simulated_network.rs
@@ -13,7 +13,7 @@
 use crate::process_state::ProcessState;
 use crate::scenario::Case;
 use crate::simulated_process::{SentCounts, DEFAULT_DELAY, SIMULATION_START};
-use crankpaddle_membership::{MemberState, Membership, MembershipConfig, Output};
+use crankpaddle_membership::{MemberState, Membership, MembershipConfig, MembershipOutput};
 use crankpaddle_time::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -158,7 +158,7 @@
     pub fn with_member<T>(
         &mut self,
         number: usize,
-        action: impl FnOnce(&mut Membership, Time, &mut Vec<Output>) -> T,
+        action: impl FnOnce(&mut Membership, Time, &mut Vec<MembershipOutput>) -> T,
     ) -> T {
         let mut out = Vec::new();
         let result = action(&mut self.nodes[number].membership, self.now, &mut out);
@@ -169,9 +169,9 @@
         result
     }
 
-    fn carry_out_output(&mut self, number: usize, output: Output) {
+    fn carry_out_output(&mut self, number: usize, output: MembershipOutput) {
         match output {
-            Output::Send { address, bytes, .. } => {
+            MembershipOutput::Send { address, bytes, .. } => {
                 let Some(to) = self.numbers_by_address.get(&address).copied() else {
                     return;
                 };
@@ -185,16 +185,18 @@
                 }
                 self.transmit(datagram);
             }
-            Output::MemberChanged(change) => self.changes.push(ChangeRecord {
+            MembershipOutput::MemberChanged(change) => self.changes.push(ChangeRecord {
                 at: self.now,
                 by: number,
                 change,
             }),
-            Output::LocalHealthChanged(health) => self.health_changes.push(HealthRecord {
-                at: self.now,
-                node: number,
-                health,
-            }),
+            MembershipOutput::LocalHealthChanged(health) => {
+                self.health_changes.push(HealthRecord {
+                    at: self.now,
+                    node: number,
+                    health,
+                });
+            }
         }
     }
 
--- a/crates/front/src/core/startup_recovery.rs
+++ b/crates/front/src/core/startup_recovery.rs
@@ -134,7 +134,7 @@
         match self.staged_recovery.admit(self.now, is_paid) {
             RecoveryAdmission::Serve => RecoveryDecision::Serve,
             RecoveryAdmission::Queue => self.queue_for_recovery(received_open),
-            RecoveryAdmission::RetryLater { after, over } => {
+            RecoveryAdmission::RetryLater { min_delay, spread } => {
                 if self
                     .keys
                     .contains_key(&SessionKey::from(&received_open.open))
@@ -144,8 +144,8 @@
                 }
                 let jitter =
                     jitter(received_open.call.player.0.rotate_left(32) ^ received_open.call.number);
-                let retry_after_ns = nanoseconds(after)
-                    .saturating_add((nanoseconds(over) as f64 * jitter) as u64)
+                let retry_after_ns = nanoseconds(min_delay)
+                    .saturating_add((nanoseconds(spread) as f64 * jitter) as u64)
                     .min(self.settings.max_retry_after);
                 let answer =
                     self.unserved_answer(&received_open.open, retry_after_from_ns(retry_after_ns));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -28,4 +28,6 @@
 pub use gossip_state::{Entry, EntryVersion, MAX_VALUE_BYTES};
 pub use local_health::LocalHealth;
 pub use member_state::{IncarnationId, MemberState, MemberVersion};
-pub use membership::{Counters, Member, MemberChange, Membership, MembershipConfig, Output};
+pub use membership::{
+    Counters, MemberChange, MemberSnapshot, Membership, MembershipConfig, MembershipOutput,
+};
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -21,7 +21,7 @@
 
 pub use config::MembershipConfig;
 pub use counters::Counters;
-pub use output::{Member, MemberChange, Output};
+pub use output::{MemberChange, MemberSnapshot, MembershipOutput};
 
 use crate::gossip_state::GossipState;
 use crate::local_health::{LocalHealth, LocalHealthMonitor};
@@ -156,7 +156,7 @@
     }
 
     /// Runs all timers that are due at `now`.
-    pub fn expire(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn expire(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         if !self.is_participating() {
             return;
         }
@@ -177,7 +177,7 @@
     }
 
     /// Announces that this member leaves. It sends no datagrams after that.
-    pub fn leave(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn leave(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         self.own_version.state = MemberState::Left;
         self.enqueue_own_version(now);
         for _ in 0..LEAVE_GOSSIP_ROUNDS {
@@ -188,7 +188,7 @@
 
     /// All other members that are known, by name.
     #[must_use]
-    pub fn members(&self) -> Vec<Member> {
+    pub fn members(&self) -> Vec<MemberSnapshot> {
         self.members
             .iter()
             .map(|(name, record)| record.to_member(name))
@@ -220,7 +220,7 @@
         &self.config.address
     }
 
-    /// This member's own health, as last reported by [`Output::LocalHealthChanged`]; at first [`LocalHealth::Alone`].
+    /// This member's own health, as last reported by [`MembershipOutput::LocalHealthChanged`]; at first [`LocalHealth::Alone`].
     #[must_use]
     pub fn local_health(&self) -> LocalHealth {
         self.local_health
@@ -266,11 +266,11 @@
     }
 
     /// Reports this member's health if it changed.
-    fn update_local_health(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn update_local_health(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         let health = self.assess_local_health(now);
         if health != self.local_health {
             self.local_health = health;
-            out.push(Output::LocalHealthChanged(health));
+            out.push(MembershipOutput::LocalHealthChanged(health));
         }
     }
 
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy: members compare digests of what they know, so that they also get the updates that gossip did not deliver.
 use super::dissemination::{Destination, Message, ANSWER_RESERVE, GOSSIP_RESERVE};
 use super::gossip_queue::GossipItem;
-use super::{Membership, Output};
+use super::{Membership, MembershipOutput};
 use crate::gossip_state::{EntryDigest, EntryKey};
 use crate::wire::{Body, MemberDigest};
 use crankpaddle_time::Time;
@@ -38,7 +38,7 @@
 impl Membership {
     /// Sends a digest of some members and entries to one member. It answers with the later versions that it knows, and requests
     /// those that it lacks.
-    pub(super) fn sync(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn sync(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         self.next_sync_at = now + SYNC_INTERVAL;
         let Some(name) = self.choose_members(1, "").pop() else {
             return;
@@ -84,7 +84,7 @@
         from: Destination<'_>,
         members: Vec<MemberDigest>,
         entries: Vec<EntryDigest>,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         let mut difference = Difference::default();
         self.compare_members(members, &mut difference);
@@ -141,7 +141,7 @@
         from: Destination<'_>,
         members: Vec<String>,
         entries: Vec<EntryKey>,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         let members = members.into_iter().map(GossipItem::Member);
         let entries = entries.into_iter().map(GossipItem::Entry);
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,7 +1,7 @@
 //! Outgoing datagrams. Each one carries as many queued updates as fit, those sent least often first, and is sent only if the
 //! send budget allows it.
 use super::gossip_queue::{GossipItem, QueuedItem};
-use super::{Membership, Output};
+use super::{Membership, MembershipOutput};
 use crate::wire::{Body, DatagramBuilder, Header, MemberUpdate};
 use crankpaddle_time::Time;
 use std::time::Duration;
@@ -107,7 +107,7 @@
         now: Time,
         to: Destination<'_>,
         message: Message<'_>,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) -> bool {
         let datagram = self.encode(now, to.name, message);
         let size = datagram.bytes.len();
@@ -121,7 +121,7 @@
         }
         self.counters.datagrams_sent += 1;
         self.counters.bytes_sent += size as u64;
-        out.push(Output::Send {
+        out.push(MembershipOutput::Send {
             name: to.name.to_owned(),
             address: to.address.to_owned(),
             bytes: datagram.bytes,
@@ -136,7 +136,7 @@
         now: Time,
         name: &str,
         message: Message<'_>,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) -> bool {
         let Some(record) = self.members.get(name) else {
             return false;
@@ -150,7 +150,7 @@
     }
 
     /// Sends one round of gossip if there are updates to disseminate.
-    pub(super) fn gossip(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn gossip(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         if self.gossip_queue.is_empty() {
             self.next_gossip_at = Time::MAX;
             return;
--- a/crates/membership/src/membership/indirect_probe.rs
+++ b/crates/membership/src/membership/indirect_probe.rs
@@ -1,7 +1,7 @@
 //! Indirect probes, which this member makes on behalf of another one that got no direct answer.
 use super::dissemination::Message;
 use super::gossip_queue::GossipItem;
-use super::{Membership, Output};
+use super::{Membership, MembershipOutput};
 use crate::wire::Body;
 use crankpaddle_time::Time;
 
@@ -31,7 +31,7 @@
         requester: &str,
         requester_sequence: u32,
         target: &str,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         let sequence = self.next_sequence();
         if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
@@ -51,7 +51,12 @@
     }
 
     /// Forwards the acknowledgement of an indirect probe to its requester.
-    pub(super) fn forward_ack(&mut self, now: Time, sequence: u32, out: &mut Vec<Output>) {
+    pub(super) fn forward_ack(
+        &mut self,
+        now: Time,
+        sequence: u32,
+        out: &mut Vec<MembershipOutput>,
+    ) {
         let Some(probe) = self.indirect_probes.remove(&sequence) else {
             return;
         };
@@ -62,7 +67,7 @@
     }
 
     /// Ends indirect probes that got no answer in time. The nack shows the requester that it can at least reach this member.
-    pub(super) fn expire_indirect_probes(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn expire_indirect_probes(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         let expired: Vec<u32> = self
             .indirect_probes
             .iter()
--- a/crates/membership/src/membership/member_table.rs
+++ b/crates/membership/src/membership/member_table.rs
@@ -1,5 +1,5 @@
 //! The table of the other members, with an index of the suspects and counts by state.
-use super::output::Member;
+use super::output::MemberSnapshot;
 use crate::member_state::{MemberState, MemberVersion};
 use crate::suspicion::Suspicion;
 use crate::token_bucket::TokenBucket;
@@ -160,8 +160,8 @@
     }
 
     /// The member as it is shown to an operator.
-    pub(super) fn to_member(&self, name: &str) -> Member {
-        Member {
+    pub(super) fn to_member(&self, name: &str) -> MemberSnapshot {
+        MemberSnapshot {
             name: name.to_owned(),
             address: self.address.clone(),
             state: self.version.state,
--- a/crates/membership/src/membership/member_updates.rs
+++ b/crates/membership/src/membership/member_updates.rs
@@ -1,6 +1,6 @@
 //! Updates of other members: suspicions, their confirmations, deaths, and all other changes of state.
 use super::gossip_queue::GossipItem;
-use super::{MemberChange, Membership, Output};
+use super::{MemberChange, Membership, MembershipOutput};
 use crate::member_state::{MemberState, MemberVersion};
 use crate::suspicion::Suspicion;
 use crate::wire::MemberUpdate;
@@ -16,7 +16,7 @@
         &mut self,
         now: Time,
         update: &MemberUpdate,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         match self.members.version(&update.name) {
             Some(known) if update.version.supersedes(&known) => {
@@ -52,7 +52,7 @@
         now: Time,
         update: &MemberUpdate,
         known: Option<MemberVersion>,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         let state = update.version.state;
         let restarted = known.is_some_and(|known| !known.is_same_incarnation(&update.version));
@@ -60,7 +60,7 @@
         let suspicion = (state == MemberState::Suspect).then(|| self.new_suspicion(now, update));
         self.members.store(now, update, suspicion, changed);
         if changed {
-            out.push(Output::MemberChanged(MemberChange {
+            out.push(MembershipOutput::MemberChanged(MemberChange {
                 name: update.name.clone(),
                 state,
                 reported_by: update.reported_by.clone(),
@@ -88,7 +88,7 @@
         now: Time,
         name: &str,
         state: MemberState,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         let Some(record) = self.members.get(name) else {
             return;
@@ -106,7 +106,7 @@
     }
 
     /// Declares the suspects dead that did not refute the suspicion in time.
-    pub(super) fn expire_suspicions(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn expire_suspicions(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         let is_isolated = self.local_health_monitor.is_isolated(now);
         for name in self.members.overdue_suspects(now) {
             if is_isolated {
--- a/crates/membership/src/membership/output.rs
+++ b/crates/membership/src/membership/output.rs
@@ -6,7 +6,7 @@
 
 /// An action for the caller to carry out, or a change to report. Outputs must be handled in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Output {
+pub enum MembershipOutput {
     /// Send `bytes` to `address` as one datagram.
     Send {
         /// The receiver's name; empty if it is not known yet, as for a seed.
@@ -38,7 +38,7 @@
 
 /// Another member as it is shown to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Member {
+pub struct MemberSnapshot {
     /// The name of the member.
     pub name: String,
     /// The address that it announced last.
--- a/crates/membership/src/membership/own_identity.rs
+++ b/crates/membership/src/membership/own_identity.rs
@@ -1,5 +1,5 @@
 //! This member's own version: how it refutes suspicions, and what it does if another process uses its name.
-use super::{Membership, Output, Participation};
+use super::{Membership, MembershipOutput, Participation};
 use crate::local_health::LocalHealth;
 use crate::member_state::{MemberState, MemberVersion};
 use crankpaddle_time::Time;
@@ -44,7 +44,7 @@
         &mut self,
         now: Time,
         reported: MemberVersion,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         if !reported.is_same_incarnation(&self.own_version) {
             if reported.supersedes(&self.own_version) {
@@ -84,7 +84,7 @@
         &mut self,
         now: Time,
         other: MemberVersion,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         self.counters.name_conflicts += 1;
         if self.own_version.incarnation_id() > other.incarnation_id() {
@@ -100,10 +100,10 @@
         self.advance_epoch(now, other.epoch.saturating_add(1));
     }
 
-    fn give_up_name(&mut self, out: &mut Vec<Output>) {
+    fn give_up_name(&mut self, out: &mut Vec<MembershipOutput>) {
         self.participation = Participation::Replaced;
         self.local_health = LocalHealth::Replaced;
-        out.push(Output::LocalHealthChanged(LocalHealth::Replaced));
+        out.push(MembershipOutput::LocalHealthChanged(LocalHealth::Replaced));
     }
 
     /// Raises this member's epoch and writes its entries again under the new one.
--- a/crates/membership/src/membership/probe.rs
+++ b/crates/membership/src/membership/probe.rs
@@ -1,7 +1,7 @@
 //! Probes. A member is first probed directly, then through helpers, and becomes suspect if it answers neither.
 use super::dissemination::Message;
 use super::gossip_queue::GossipItem;
-use super::{Membership, Output};
+use super::{Membership, MembershipOutput};
 use crate::local_health::LocalHealth;
 use crate::member_state::MemberState;
 use crate::wire::Body;
@@ -52,7 +52,7 @@
 
 impl Membership {
     /// Advances the probe in progress, and begins the next one when it is due.
-    pub(super) fn run_probe(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn run_probe(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         self.request_indirect_probes(now, out);
         if let Some(probe) = self.probe.take_if(|probe| now >= probe.ends_at) {
             self.finish_probe(now, &probe, out);
@@ -63,7 +63,7 @@
         }
     }
 
-    fn begin_probe(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn begin_probe(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         self.next_probe_at = now + self.config.probe_interval;
         let Some(target) = self.next_probe_target() else {
             return;
@@ -114,7 +114,7 @@
     }
 
     /// Asks helpers to probe the target once its direct acknowledgement is overdue.
-    fn request_indirect_probes(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn request_indirect_probes(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         let Some(probe) = self
             .probe
             .as_mut()
@@ -144,7 +144,7 @@
     }
 
     /// Evaluates a probe that ended; without an acknowledgement the target becomes suspect.
-    fn finish_probe(&mut self, now: Time, probe: &Probe, out: &mut Vec<Output>) {
+    fn finish_probe(&mut self, now: Time, probe: &Probe, out: &mut Vec<MembershipOutput>) {
         self.local_health_monitor
             .record_probe(probe.is_acknowledged());
         if probe.is_acknowledged() {
@@ -171,7 +171,7 @@
         now: Time,
         from: &str,
         sequence: u32,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         self.forward_ack(now, sequence, out);
         let Some(probe) = self
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,14 +1,20 @@
 //! Received datagrams: which ones are accepted, and how they are answered.
 use super::dissemination::{Destination, Message, ANSWER_RESERVE};
 use super::gossip_queue::GossipItem;
-use super::{Membership, Output};
+use super::{Membership, MembershipOutput};
 use crate::member_state::{MemberState, MemberVersion};
 use crate::wire::{self, Body, Datagram, MemberUpdate};
 use crankpaddle_time::Time;
 
 impl Membership {
     /// Handles a datagram that was received from the address `from` at `now`.
-    pub fn receive(&mut self, now: Time, from: &str, bytes: &[u8], out: &mut Vec<Output>) {
+    pub fn receive(
+        &mut self,
+        now: Time,
+        from: &str,
+        bytes: &[u8],
+        out: &mut Vec<MembershipOutput>,
+    ) {
         if !self.is_participating() {
             return;
         }
@@ -40,7 +46,12 @@
 
     /// Handles a datagram whose sender uses this member's name. It is either one of its own that came back, or another process
     /// sent it.
-    fn handle_own_name(&mut self, now: Time, version: MemberVersion, out: &mut Vec<Output>) {
+    fn handle_own_name(
+        &mut self,
+        now: Time,
+        version: MemberVersion,
+        out: &mut Vec<MembershipOutput>,
+    ) {
         if version.incarnation != self.own_version.incarnation {
             self.handle_name_conflict(now, version, out);
         }
@@ -62,7 +73,7 @@
         &mut self,
         now: Time,
         sender: Destination<'_>,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         self.counters.previous_incarnation += 1;
         if !self.may_answer(now, sender.name) {
@@ -80,7 +91,7 @@
         now: Time,
         from: &str,
         datagram: Datagram,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         let header = datagram.header;
         let sender_update = MemberUpdate {
@@ -112,7 +123,7 @@
         now: Time,
         sender: Destination<'_>,
         body: Body,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         match body {
             Body::Ack { sequence } => self.handle_ack(now, sender.name, sequence, out),
@@ -125,7 +136,13 @@
         }
     }
 
-    fn answer(&mut self, now: Time, sender: Destination<'_>, request: Body, out: &mut Vec<Output>) {
+    fn answer(
+        &mut self,
+        now: Time,
+        sender: Destination<'_>,
+        request: Body,
+        out: &mut Vec<MembershipOutput>,
+    ) {
         match request {
             Body::Ping { sequence } => self.answer_ping(now, sender, sequence, out),
             Body::PingRequest { sequence, target } if target == self.config.name => {
@@ -150,7 +167,7 @@
         now: Time,
         sender: Destination<'_>,
         sequence: u32,
-        out: &mut Vec<Output>,
+        out: &mut Vec<MembershipOutput>,
     ) {
         // A sender that is known as suspect, dead or left gets that state with the answer, so that it can refute it.
         let items: Vec<GossipItem> = match self.members.state(sender.name) {
--- a/crates/membership/src/membership/rejoin.rs
+++ b/crates/membership/src/membership/rejoin.rs
@@ -2,7 +2,7 @@
 //! removed.
 use super::dissemination::{Destination, Message, GOSSIP_RESERVE};
 use super::gossip_queue::GossipItem;
-use super::{Membership, Output};
+use super::{Membership, MembershipOutput};
 use crate::member_state::MemberState;
 use crate::wire::Body;
 use crankpaddle_time::Time;
@@ -18,7 +18,7 @@
     ///
     /// After a partition each side has declared the members of the other side dead, and would never probe them again otherwise.
     /// The ping to a dead member carries the state that is known of it, so that it can refute that.
-    pub(super) fn rejoin(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn rejoin(&mut self, now: Time, out: &mut Vec<MembershipOutput>) {
         self.next_rejoin_at = now + REJOIN_INTERVAL;
         self.remove_inactive(now);
         let dead_members = self.dead_members();
--- a/crates/membership/tests/wire_bytes.rs
+++ b/crates/membership/tests/wire_bytes.rs
@@ -3,7 +3,7 @@
 //!
 //! The literals label the kinds of datagrams: "ping for" is a request for an indirect probe, "want" is a pull, and "news" are
 //! updates of members.
-use crankpaddle_membership::{Membership, MembershipConfig, Output};
+use crankpaddle_membership::{Membership, MembershipConfig, MembershipOutput};
 use crankpaddle_time::{nanoseconds, Time};
 use siphasher::sip::SipHasher24;
 use std::collections::{BTreeMap, VecDeque};
@@ -102,7 +102,7 @@
     let mut sent = Vec::new();
     for millisecond in 0..20_000 {
         let now = Time(millisecond * MILLISECOND);
-        let mut queue: VecDeque<(usize, Output)> = VecDeque::new();
+        let mut queue: VecDeque<(usize, MembershipOutput)> = VecDeque::new();
         for (index, member) in members.iter_mut().enumerate() {
             let mut out = Vec::new();
             if member.next_expiry() <= now {
@@ -111,7 +111,7 @@
             queue.extend(out.into_iter().map(|output| (index, output)));
         }
         while let Some((from, output)) = queue.pop_front() {
-            let Output::Send { address, bytes, .. } = output else {
+            let MembershipOutput::Send { address, bytes, .. } = output else {
                 continue;
             };
             sent.push(bytes.clone());
@@ -134,9 +134,9 @@
     sent
 }
 
-fn datagram(output: Output) -> Option<Vec<u8>> {
+fn datagram(output: MembershipOutput) -> Option<Vec<u8>> {
     match output {
-        Output::Send { bytes, .. } => Some(bytes),
+        MembershipOutput::Send { bytes, .. } => Some(bytes),
         _ => None,
     }
 }
--- a/crates/recovery/src/intents.rs
+++ b/crates/recovery/src/intents.rs
@@ -14,7 +14,7 @@
 
 /// The whole milliseconds of a duration, which is the unit of stored durations. The result saturates at `u64::MAX`.
 #[must_use]
-pub fn milliseconds(duration: Duration) -> u64 {
+pub fn whole_milliseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -283,7 +283,7 @@
 
     /// The [`Intent::retained_until`] of a key that ended at this uptime.
     fn retained_until(&self, uptime: Duration) -> u64 {
-        milliseconds(uptime).saturating_add(milliseconds(self.retention))
+        whole_milliseconds(uptime).saturating_add(whole_milliseconds(self.retention))
     }
 
     /// Inserts the entry of a key that a server's inventory lists, or replaces it.
@@ -307,7 +307,9 @@
             let Some((retained_until, key)) = self.pruning_order.first().cloned() else {
                 break;
             };
-            if retained_until > milliseconds(uptime) && self.pruning_order.len() <= self.max_ended {
+            if retained_until > whole_milliseconds(uptime)
+                && self.pruning_order.len() <= self.max_ended
+            {
                 break;
             }
             self.remove(&key);
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -23,7 +23,7 @@
 pub use intents::{Intent, IntentLedger, IntentOutcome, Key, StoreWrite};
 pub use power_loss_policy::{ConservativeBound, PowerLossPolicy, StateKind, StillValid};
 pub use reconciliation::{
-    InventoryOutcome, InventorySession, Reconciliation, ReconciliationStep, Resolution,
+    InventoryOutcome, InventorySession, Reconciliation, ReconciliationRequest, Resolution,
     ServerCounts, SessionInventory,
 };
 pub use recovered_state::{PreviousShutdown, RecoveredState};
--- a/crates/recovery/src/reconciliation.rs
+++ b/crates/recovery/src/reconciliation.rs
@@ -12,7 +12,7 @@
 mod outcome;
 
 pub use inventory::{InventorySession, SessionInventory};
-pub use outcome::{InventoryOutcome, ReconciliationStep, Resolution, ServerCounts};
+pub use outcome::{InventoryOutcome, ReconciliationRequest, Resolution, ServerCounts};
 
 use crate::intents::{Intent, IntentOutcome, Key};
 use std::collections::{BTreeMap, BTreeSet};
@@ -137,16 +137,16 @@
     pub fn update_servers(
         &mut self,
         servers: impl IntoIterator<Item = u32>,
-    ) -> Vec<ReconciliationStep> {
-        let mut steps = Vec::new();
+    ) -> Vec<ReconciliationRequest> {
+        let mut requests = Vec::new();
         for server in servers {
             if self.servers.contains_key(&server) {
                 continue;
             }
             self.servers.insert(server, ServerState::Pending);
-            steps.push(ReconciliationStep::RequestInventory(server));
+            requests.push(ReconciliationRequest::RequestInventory(server));
         }
-        steps
+        requests
     }
 
     /// Records that a server is unreachable or did not answer. Its unconfirmed fences are dropped.
@@ -157,9 +157,9 @@
 
     /// Records that a server may be reachable again. Returns the inventory request if it was unreachable before.
     #[must_use]
-    pub fn server_reachable(&mut self, server: u32) -> Option<ReconciliationStep> {
+    pub fn server_reachable(&mut self, server: u32) -> Option<ReconciliationRequest> {
         self.replace_state(server, ServerState::Unreachable, ServerState::Pending)
-            .then_some(ReconciliationStep::RequestInventory(server))
+            .then_some(ReconciliationRequest::RequestInventory(server))
     }
 
     /// Changes the state of a server from `from` to `to`. Returns false if it is in another state.
@@ -194,7 +194,7 @@
         &mut self,
         server: u32,
         attempt_name: &str,
-    ) -> Option<ReconciliationStep> {
+    ) -> Option<ReconciliationRequest> {
         if let Some(attempt) = self.unresolved.get_mut(attempt_name) {
             attempt.fenced = true;
         }
@@ -204,7 +204,7 @@
             return None;
         }
         self.pending_fences.remove(&server);
-        Some(ReconciliationStep::RequestInventory(server))
+        Some(ReconciliationRequest::RequestInventory(server))
     }
 
     /// Applies a server's inventory. `is_own` returns whether the present incarnation chose the name of an attempt. Such
@@ -221,7 +221,7 @@
         self.fence_unknown_attempts(server, inventory, &is_own, &mut outcome);
         self.resolve_absent_attempts(server, inventory, &mut resolved_keys, &mut outcome);
         self.report_completed_keys(inventory, &resolved_keys, &mut outcome);
-        if outcome.steps.is_empty() {
+        if outcome.requests.is_empty() {
             self.servers.insert(server, ServerState::Reconciled);
         }
         outcome
@@ -329,7 +329,7 @@
             .entry(server)
             .or_default()
             .insert(attempt_name.clone());
-        outcome.steps.push(ReconciliationStep::Fence {
+        outcome.requests.push(ReconciliationRequest::Fence {
             server,
             attempt_name,
         });
--- a/crates/recovery/src/reconciliation/outcome.rs
+++ b/crates/recovery/src/reconciliation/outcome.rs
@@ -29,7 +29,7 @@
 
 /// A request to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReconciliationStep {
+pub enum ReconciliationRequest {
     /// Request the inventory of this server.
     RequestInventory(u32),
     /// Fence the attempt: end it by its name, so that it cannot run any more. Then request the inventory again.
@@ -47,7 +47,7 @@
     /// What the inventory proves about keys and sessions.
     pub resolutions: Vec<Resolution>,
     /// What to request next; if empty, the server is reconciled.
-    pub steps: Vec<ReconciliationStep>,
+    pub requests: Vec<ReconciliationRequest>,
 }
 
 /// The number of listed servers in each state of their reconciliation.
--- a/crates/recovery/src/reconciliation/tests.rs
+++ b/crates/recovery/src/reconciliation/tests.rs
@@ -41,7 +41,7 @@
 fn only_fence(server: u32, attempt_name: &str) -> InventoryOutcome {
     InventoryOutcome {
         resolutions: vec![],
-        steps: vec![ReconciliationStep::Fence {
+        requests: vec![ReconciliationRequest::Fence {
             server,
             attempt_name: attempt_name.to_owned(),
         }],
@@ -59,7 +59,7 @@
         Reconciliation::new(&[recovered_intent(1, 7, IntentOutcome::InFlight)]);
     assert_eq!(
         reconciliation.update_servers([7]),
-        [ReconciliationStep::RequestInventory(7)]
+        [ReconciliationRequest::RequestInventory(7)]
     );
     let without_attempt = inventory(&["4"], &[], &[]);
     assert_eq!(
@@ -69,7 +69,7 @@
     assert!(!reconciliation.is_complete());
     assert_eq!(
         reconciliation.fence_confirmed(7, "n1"),
-        Some(ReconciliationStep::RequestInventory(7))
+        Some(ReconciliationRequest::RequestInventory(7))
     );
     assert_eq!(
         reconciliation
@@ -114,8 +114,8 @@
         matches!(
             reconciliation
                 .receive_inventory(7, &inventory(&["4", "5"], &[], &[]), not_own)
-                .steps[..],
-            [ReconciliationStep::Fence { .. }]
+                .requests[..],
+            [ReconciliationRequest::Fence { .. }]
         ),
         "the inventory covers the incarnation, so the attempt is fenced"
     );
@@ -186,7 +186,7 @@
     assert!(!reconciliation.is_complete());
     assert_eq!(
         reconciliation.fence_confirmed(7, "n5"),
-        Some(ReconciliationStep::RequestInventory(7))
+        Some(ReconciliationRequest::RequestInventory(7))
     );
     assert_eq!(
         reconciliation
@@ -223,7 +223,7 @@
             reconciliation.server_reachable(7),
             reconciliation.server_reachable(8)
         ),
-        (Some(ReconciliationStep::RequestInventory(7)), None, None)
+        (Some(ReconciliationRequest::RequestInventory(7)), None, None)
     );
     // A failure was reported to its viewer, so no viewer will attach to the session.
     assert_eq!(
--- a/crates/recovery/src/stages.rs
+++ b/crates/recovery/src/stages.rs
@@ -85,9 +85,9 @@
     /// Reject it, and ask the viewer to retry later.
     RetryLater {
         /// The time before the earliest retry.
-        after: Duration,
+        min_delay: Duration,
         /// The duration over which retries are spread after that.
-        over: Duration,
+        spread: Duration,
     },
 }
 
@@ -286,8 +286,8 @@
             RecoveryStage::Offline | RecoveryStage::Reading => RecoveryAdmission::Queue,
             RecoveryStage::Reconciling => self.admit_while_reconciling(now),
             RecoveryStage::PaidOnly if !paid => RecoveryAdmission::RetryLater {
-                after: self.paid_only_deadline().duration_since(now),
-                over: self.timeouts.warm_up_duration,
+                min_delay: self.paid_only_deadline().duration_since(now),
+                spread: self.timeouts.warm_up_duration,
             },
             RecoveryStage::PaidOnly | RecoveryStage::AllClasses | RecoveryStage::Normal => {
                 RecoveryAdmission::Serve
@@ -302,8 +302,8 @@
             return RecoveryAdmission::Queue;
         }
         RecoveryAdmission::RetryLater {
-            after: timeout,
-            over: timeout,
+            min_delay: timeout,
+            spread: timeout,
         }
     }
 }
--- a/crates/recovery/src/stages/tests.rs
+++ b/crates/recovery/src/stages/tests.rs
@@ -70,8 +70,8 @@
     assert_eq!(
         recovery.admit(Time(5), false),
         RecoveryAdmission::RetryLater {
-            after: Duration::from_nanos(300),
-            over: Duration::from_nanos(1000)
+            min_delay: Duration::from_nanos(300),
+            spread: Duration::from_nanos(1000)
         }
     );
     recovery.paid_rejected(Time(10), Duration::from_nanos(7));
--- a/crates/recovery/tests/crash/front.rs
+++ b/crates/recovery/tests/crash/front.rs
@@ -1,6 +1,6 @@
 //! The front in the model. The ledger and the reconciliation are the real code, and the rest is a model of the daemon.
 use crankpaddle_recovery::{
-    Intent, IntentLedger, IntentOutcome, Key, Reconciliation, ReconciliationStep, Resolution,
+    Intent, IntentLedger, IntentOutcome, Key, Reconciliation, ReconciliationRequest, Resolution,
     SessionInventory, StoreWrite,
 };
 use std::collections::BTreeSet;
@@ -92,15 +92,15 @@
         self.is_serving && self.outcome().is_none() && self.waiting_for_sync.is_none()
     }
 
-    pub(crate) fn apply_steps(&mut self, steps: Vec<ReconciliationStep>, guards: Guards) {
-        for step in steps {
-            match step {
-                ReconciliationStep::RequestInventory(_) => self.inventory_requested = true,
-                ReconciliationStep::Fence { attempt_name, .. } if guards.has(Guard::Fence) => {
+    pub(crate) fn apply_requests(&mut self, requests: Vec<ReconciliationRequest>, guards: Guards) {
+        for request in requests {
+            match request {
+                ReconciliationRequest::RequestInventory(_) => self.inventory_requested = true,
+                ReconciliationRequest::Fence { attempt_name, .. } if guards.has(Guard::Fence) => {
                     self.fence_requests.insert(attempt_name);
                 }
                 // Without this guard the fence is confirmed although the server was not asked for it.
-                ReconciliationStep::Fence { attempt_name, .. } => {
+                ReconciliationRequest::Fence { attempt_name, .. } => {
                     self.fence_responses.insert(attempt_name);
                 }
             }
--- a/crates/recovery/tests/crash/model.rs
+++ b/crates/recovery/tests/crash/model.rs
@@ -102,8 +102,8 @@
     fn start(&mut self, guards: Guards) {
         let recovered: Vec<(Key, Intent)> = self.disk.clone().into_iter().collect();
         let mut front = Front::start(&recovered, guards);
-        let steps = front.reconciliation.update_servers([SERVER]);
-        front.apply_steps(steps, guards);
+        let requests = front.reconciliation.update_servers([SERVER]);
+        front.apply_requests(requests, guards);
         self.front = Some(front);
     }
 
@@ -185,7 +185,7 @@
             let write = front.apply_resolution(resolution, guards);
             self.unsynced.extend(write);
         }
-        front.apply_steps(outcome.steps, guards);
+        front.apply_requests(outcome.requests, guards);
         Some(())
     }
 
@@ -202,8 +202,8 @@
     fn fence_confirmation_arrives(&mut self, attempt_name: &str, guards: Guards) -> Option<()> {
         let front = self.front.as_mut()?;
         front.fence_responses.remove(attempt_name);
-        let step = front.reconciliation.fence_confirmed(SERVER, attempt_name);
-        front.apply_steps(step.into_iter().collect(), guards);
+        let request = front.reconciliation.fence_confirmed(SERVER, attempt_name);
+        front.apply_requests(request.into_iter().collect(), guards);
         Some(())
     }
 
--- a/crates/store/src/database.rs
+++ b/crates/store/src/database.rs
@@ -1,5 +1,5 @@
 //! Opening the database and reading all of its content.
-use crate::errors::{Corruption, Error};
+use crate::errors::{Corruption, StoreError};
 use crate::tables::{self, StoredState};
 use redb::{Builder, Database, DatabaseError};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -22,21 +22,21 @@
 ///
 /// Workaround for redb 4.6.0, which may panic on content that it did not write. Its integrity check detects such content, at
 /// the price of reading the whole file. If it panics nevertheless, the file counts as corrupted.
-pub(crate) fn load(dir: &Path, opener: &DatabaseOpener) -> Result<LoadedDatabase, Error> {
+pub(crate) fn load(dir: &Path, opener: &DatabaseOpener) -> Result<LoadedDatabase, StoreError> {
     let mut builder = Builder::new();
     builder
         .set_cache_size(CACHE_BYTES)
         .set_check_integrity_on_open(true);
     let loaded = catch_unwind(AssertUnwindSafe(|| open_and_read(dir, opener, &builder)));
-    loaded.unwrap_or_else(|_| Err(Error::corrupted(dir, Corruption::DatabasePanic)))
+    loaded.unwrap_or_else(|_| Err(StoreError::corrupted(dir, Corruption::DatabasePanic)))
 }
 
 fn open_and_read(
     dir: &Path,
     opener: &DatabaseOpener,
     builder: &Builder,
-) -> Result<LoadedDatabase, Error> {
-    let database = opener(builder).map_err(|error| Error::from_database(dir, error))?;
-    let state = tables::read(&database).map_err(|error| Error::from_database(dir, error))?;
+) -> Result<LoadedDatabase, StoreError> {
+    let database = opener(builder).map_err(|error| StoreError::from_database(dir, error))?;
+    let state = tables::read(&database).map_err(|error| StoreError::from_database(dir, error))?;
     Ok(LoadedDatabase { database, state })
 }
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -5,7 +5,7 @@
 
 /// Why a store can't be used.
 #[derive(Debug, thiserror::Error, Diagnostic)]
-pub enum Error {
+pub enum StoreError {
     /// Another process has the folder open.
     #[error("{}: another process has this store open", dir.display())]
     #[diagnostic(
@@ -76,23 +76,23 @@
     Database(Box<redb::Error>),
 }
 
-impl Error {
+impl StoreError {
     /// One error of each kind, from which docs/errors.md is generated.
     #[must_use]
-    pub fn samples() -> Vec<Error> {
+    pub fn samples() -> Vec<StoreError> {
         let dir = || PathBuf::from("DIR");
         vec![
-            Error::Locked { dir: dir() },
-            Error::NewerVersion {
+            StoreError::Locked { dir: dir() },
+            StoreError::NewerVersion {
                 dir: dir(),
                 found: 9,
                 supported: 1,
             },
-            Error::Disk {
+            StoreError::Disk {
                 dir: dir(),
                 source: io::Error::from(ErrorKind::StorageFull),
             },
-            Error::Corrupted {
+            StoreError::Corrupted {
                 dir: dir(),
                 source: Corruption::Content("WHAT".into()),
             },
@@ -105,26 +105,28 @@
         self.help().map(|help| help.to_string()).unwrap_or_default()
     }
 
-    pub(crate) fn disk(dir: &Path, source: io::Error) -> Error {
-        Error::Disk {
+    pub(crate) fn disk(dir: &Path, source: io::Error) -> StoreError {
+        StoreError::Disk {
             dir: dir.to_owned(),
             source,
         }
     }
 
-    pub(crate) fn corrupted(dir: &Path, source: Corruption) -> Error {
-        Error::Corrupted {
+    pub(crate) fn corrupted(dir: &Path, source: Corruption) -> StoreError {
+        StoreError::Corrupted {
             dir: dir.to_owned(),
             source,
         }
     }
 
     /// Classifies an error of the database: another process has the folder open, the disk fails, or the content is invalid.
-    pub(crate) fn from_database(dir: &Path, error: impl Into<redb::Error>) -> Error {
+    pub(crate) fn from_database(dir: &Path, error: impl Into<redb::Error>) -> StoreError {
         match error.into() {
-            redb::Error::DatabaseAlreadyOpen | redb::Error::LockProtocolMismatch => Error::Locked {
-                dir: dir.to_owned(),
-            },
+            redb::Error::DatabaseAlreadyOpen | redb::Error::LockProtocolMismatch => {
+                StoreError::Locked {
+                    dir: dir.to_owned(),
+                }
+            }
             // Workaround for redb 4.6.0, which reports a file that is not a database, or is too short, as an I/O error of these
             // kinds. If a corrupted file were mistaken for a failing disk, paid service would stop until an operator
             // intervenes.
@@ -134,14 +136,16 @@
                     ErrorKind::InvalidData | ErrorKind::UnexpectedEof
                 ) =>
             {
-                Error::corrupted(dir, Corruption::Io(error))
+                StoreError::corrupted(dir, Corruption::Io(error))
+            }
+            redb::Error::Io(source) => StoreError::disk(dir, source),
+            redb::Error::Corrupted(content) => {
+                StoreError::corrupted(dir, Corruption::Content(content))
             }
-            redb::Error::Io(source) => Error::disk(dir, source),
-            redb::Error::Corrupted(content) => Error::corrupted(dir, Corruption::Content(content)),
             closed @ (redb::Error::PreviousIo | redb::Error::DatabaseClosed) => {
-                Error::disk(dir, io::Error::other(closed.to_string()))
+                StoreError::disk(dir, io::Error::other(closed.to_string()))
             }
-            other => Error::corrupted(dir, Corruption::Database(Box::new(other))),
+            other => StoreError::corrupted(dir, Corruption::Database(Box::new(other))),
         }
     }
 }
--- a/crates/store/src/errors/tests.rs
+++ b/crates/store/src/errors/tests.rs
@@ -2,13 +2,13 @@
 
 #[test]
 fn each_kind_has_a_sample_a_code_and_advice() {
-    let kind = |error: &Error| match error {
-        Error::Locked { .. } => 0,
-        Error::NewerVersion { .. } => 1,
-        Error::Disk { .. } => 2,
-        Error::Corrupted { .. } => 3,
+    let kind = |error: &StoreError| match error {
+        StoreError::Locked { .. } => 0,
+        StoreError::NewerVersion { .. } => 1,
+        StoreError::Disk { .. } => 2,
+        StoreError::Corrupted { .. } => 3,
     };
-    let samples = Error::samples();
+    let samples = StoreError::samples();
     assert_eq!(
         samples.iter().map(kind).collect::<Vec<_>>(),
         [0, 1, 2, 3],
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -16,6 +16,6 @@
 mod version_file;
 mod writer;
 
-pub use errors::{Corruption, Error};
+pub use errors::{Corruption, StoreError};
 pub use open::{OpenedStore, QuarantinedFile, Store};
 pub use writer::{StoreWriter, WriteRequest};
--- a/crates/store/src/open.rs
+++ b/crates/store/src/open.rs
@@ -7,7 +7,7 @@
 //! - If the disk fails, the previous state is unknown and nothing can be persisted. The front starts, but sets up no paid
 //!   sessions.
 use crate::database::{self, DatabaseOpener, LoadedDatabase};
-use crate::errors::{Corruption, Error};
+use crate::errors::{Corruption, StoreError};
 use crate::tables::{self, StoredState, FORMAT_VERSION};
 use crate::version_file::{self, FolderVersion};
 use crankpaddle_recovery::{
@@ -57,7 +57,7 @@
     /// The path to which the file was moved.
     pub path: PathBuf,
     /// Why the file was moved aside.
-    pub reason: Error,
+    pub reason: StoreError,
 }
 
 impl Store {
@@ -67,10 +67,10 @@
     /// # Errors
     /// Another process has the folder open, a later release wrote it, or the disk fails. A corrupted database file is no error,
     /// since it is quarantined.
-    pub fn open(dir: &Path, boot_id: &str) -> Result<OpenedStore, Error> {
-        fs::create_dir_all(dir).map_err(|source| Error::disk(dir, source))?;
+    pub fn open(dir: &Path, boot_id: &str) -> Result<OpenedStore, StoreError> {
+        fs::create_dir_all(dir).map_err(|source| StoreError::disk(dir, source))?;
         let unversioned = quarantine_unversioned(dir)?;
-        version_file::write(dir).map_err(|source| Error::disk(dir, source))?;
+        version_file::write(dir).map_err(|source| StoreError::disk(dir, source))?;
         let path = dir.join(DATABASE_FILE_NAME);
         let opener: DatabaseOpener = Box::new(move |builder| builder.create(&path));
         let (loaded, corrupted) = load_or_replace(dir, &opener)?;
@@ -84,7 +84,7 @@
     pub fn open_backend<B: StorageBackend + Clone>(
         backend: B,
         boot_id: &str,
-    ) -> Result<OpenedStore, Error> {
+    ) -> Result<OpenedStore, StoreError> {
         let dir = Path::new(CUSTOM_BACKEND_NAME);
         let opener: DatabaseOpener =
             Box::new(move |builder| builder.create_with_backend(backend.clone()));
@@ -96,14 +96,15 @@
     ///
     /// # Errors
     /// The disk fails, or the content of the database is found to be invalid. It is unknown whether the writes are durable.
-    pub fn write(&mut self, writes: &[StoreWrite]) -> Result<(), Error> {
+    pub fn write(&mut self, writes: &[StoreWrite]) -> Result<(), StoreError> {
         let database = match self.database.take() {
             Some(database) => database,
             // Workaround for redb 4.6.0: once an I/O error has occurred, every call fails until the database is reopened. The
             // state that is read then is dropped, because this incarnation wrote it before the fault.
             None => database::load(&self.dir, &self.opener)?.database,
         };
-        tables::write(&database, writes).map_err(|error| Error::from_database(&self.dir, error))?;
+        tables::write(&database, writes)
+            .map_err(|error| StoreError::from_database(&self.dir, error))?;
         self.database = Some(database);
         Ok(())
     }
@@ -117,16 +118,16 @@
 
 /// Quarantines the database file if the folder's version file is missing or malformed. Fails if a later release wrote the
 /// folder.
-fn quarantine_unversioned(dir: &Path) -> Result<Option<QuarantinedFile>, Error> {
-    match version_file::read(dir).map_err(|source| Error::disk(dir, source))? {
-        FolderVersion::Number(found) if found > FORMAT_VERSION => Err(Error::NewerVersion {
+fn quarantine_unversioned(dir: &Path) -> Result<Option<QuarantinedFile>, StoreError> {
+    match version_file::read(dir).map_err(|source| StoreError::disk(dir, source))? {
+        FolderVersion::Number(found) if found > FORMAT_VERSION => Err(StoreError::NewerVersion {
             dir: dir.to_owned(),
             found,
             supported: FORMAT_VERSION,
         }),
         FolderVersion::Number(_) => Ok(None),
         FolderVersion::Missing | FolderVersion::Malformed => {
-            quarantine(dir, Error::corrupted(dir, Corruption::VersionFile))
+            quarantine(dir, StoreError::corrupted(dir, Corruption::VersionFile))
         }
     }
 }
@@ -135,10 +136,10 @@
 fn load_or_replace(
     dir: &Path,
     opener: &DatabaseOpener,
-) -> Result<(LoadedDatabase, Option<QuarantinedFile>), Error> {
+) -> Result<(LoadedDatabase, Option<QuarantinedFile>), StoreError> {
     match database::load(dir, opener) {
         Ok(loaded) => Ok((loaded, None)),
-        Err(corrupted @ Error::Corrupted { .. }) => {
+        Err(corrupted @ StoreError::Corrupted { .. }) => {
             let quarantined = quarantine(dir, corrupted)?;
             Ok((database::load(dir, opener)?, quarantined))
         }
@@ -148,7 +149,7 @@
 
 /// Renames the database file to a free name, since its content may still be needed. Returns `None` if there is no database
 /// file.
-fn quarantine(dir: &Path, reason: Error) -> Result<Option<QuarantinedFile>, Error> {
+fn quarantine(dir: &Path, reason: StoreError) -> Result<Option<QuarantinedFile>, StoreError> {
     let file = dir.join(DATABASE_FILE_NAME);
     if !file.exists() {
         return Ok(None);
@@ -159,7 +160,7 @@
     let Some(free_path) = free_path else {
         return Ok(None);
     };
-    fs::rename(&file, &free_path).map_err(|source| Error::disk(dir, source))?;
+    fs::rename(&file, &free_path).map_err(|source| StoreError::disk(dir, source))?;
     Ok(Some(QuarantinedFile {
         path: free_path,
         reason,
@@ -173,7 +174,7 @@
     loaded: LoadedDatabase,
     boot_id: &str,
     quarantined: Option<QuarantinedFile>,
-) -> Result<OpenedStore, Error> {
+) -> Result<OpenedStore, StoreError> {
     let LoadedDatabase { database, state } = loaded;
     if state.undecodable_entries > 0 {
         tracing::warn!(
@@ -184,7 +185,7 @@
     }
     let recovered = recovered_state(state, boot_id);
     tables::begin_incarnation(&database, recovered.epoch.0, boot_id)
-        .map_err(|error| Error::from_database(dir, error))?;
+        .map_err(|error| StoreError::from_database(dir, error))?;
     let store = Store {
         database: Some(database),
         dir: dir.to_owned(),
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -2,7 +2,7 @@
 //!
 //! The names of tables and keys, and the order of the fields and variants of [`Intent`], are part of the stored form and must
 //! not change unless [`FORMAT_VERSION`] does.
-use crankpaddle_recovery::intents::milliseconds;
+use crankpaddle_recovery::intents::whole_milliseconds;
 use crankpaddle_recovery::{Intent, Key, StoreWrite};
 use redb::{
     Database, ReadTransaction, ReadableDatabase, ReadableTable, Table, TableDefinition, TableError,
@@ -146,7 +146,7 @@
             numbers.insert(FLEET_SIZE, u64::from(*fronts))?;
         }
         StoreWrite::Uptime(uptime) => {
-            numbers.insert(UPTIME_MS, milliseconds(*uptime))?;
+            numbers.insert(UPTIME_MS, whole_milliseconds(*uptime))?;
         }
         StoreWrite::CleanShutdown => {
             numbers.insert(CLEAN_SHUTDOWN, 1)?;
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -3,7 +3,7 @@
 //! Writes have a thread of their own, because a coroutine that waits for a disk blocks all other coroutines of its thread.
 //! Requests go through a queue, and a requester that waits is notified when its writes are durable. Requests that arrive while
 //! the disk is busy are committed together.
-use crate::errors::Error;
+use crate::errors::StoreError;
 use crate::open::Store;
 use crankpaddle_recovery::StoreWrite;
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
@@ -37,7 +37,7 @@
     /// Starts the thread. It calls `on_written` for each token once it is known whether the writes are durable.
     pub fn start(
         store: Store,
-        on_written: impl Fn(u64, Result<(), &Error>) + Send + 'static,
+        on_written: impl Fn(u64, Result<(), &StoreError>) + Send + 'static,
     ) -> StoreWriter {
         let (requests, received_requests) = mpsc::channel();
         let thread = std::thread::spawn(move || run(store, &received_requests, on_written));
@@ -62,13 +62,13 @@
 /// The last failed commit.
 struct WriteFailure {
     at: Instant,
-    error: Error,
+    error: StoreError,
 }
 
 fn run(
     mut store: Store,
     requests: &Receiver<WriteRequest>,
-    on_written: impl Fn(u64, Result<(), &Error>),
+    on_written: impl Fn(u64, Result<(), &StoreError>),
 ) {
     let mut failure: Option<WriteFailure> = None;
     while let Ok(first) = requests.recv() {
@@ -130,7 +130,7 @@
     })
 }
 
-fn log_write_failure(store: &Store, error: &Error) {
+fn log_write_failure(store: &Store, error: &StoreError) {
     tracing::error!(
         dir = %store.dir().display(),
         %error,
@@ -142,7 +142,7 @@
 fn notify_requesters(
     group: &[WriteRequest],
     failure: Option<&WriteFailure>,
-    on_written: &impl Fn(u64, Result<(), &Error>),
+    on_written: &impl Fn(u64, Result<(), &StoreError>),
 ) {
     for token in group.iter().filter_map(|request| request.token) {
         let result = failure.map_or(Ok(()), |failure| Err(&failure.error));
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::{intent, key, put_intent, recovered_entries};
 use crankpaddle_recovery::{IntentOutcome, PreviousShutdown, StoreWrite};
-use crankpaddle_store::{Error, QuarantinedFile, Store, StoreWriter, WriteRequest};
+use crankpaddle_store::{QuarantinedFile, Store, StoreError, StoreWriter, WriteRequest};
 use crankpaddle_testbed::disk::Poor;
 use std::fs;
 use std::path::Path;
@@ -81,7 +81,7 @@
     let first = Store::open(dir.path(), "a").unwrap();
     assert!(matches!(
         Store::open(dir.path(), "a"),
-        Err(Error::Locked { .. })
+        Err(StoreError::Locked { .. })
     ));
     drop(first);
     Store::open(dir.path(), "a").unwrap();
@@ -99,7 +99,7 @@
     let before = files(dir.path());
     assert!(matches!(
         Store::open(dir.path(), "a"),
-        Err(Error::NewerVersion {
+        Err(StoreError::NewerVersion {
             found: 2,
             supported: 1,
             ..
@@ -139,7 +139,7 @@
         fs::write(&file, &bytes).unwrap();
         let opened = Store::open(dir.path(), "a").unwrap();
         if let Some(QuarantinedFile { path, reason }) = opened.quarantined {
-            assert!(matches!(reason, Error::Corrupted { .. }), "{reason}");
+            assert!(matches!(reason, StoreError::Corrupted { .. }), "{reason}");
             assert_eq!(
                 fs::read(&path).unwrap(),
                 bytes,
@@ -183,7 +183,7 @@
     let file = dir.path().join("file");
     fs::write(&file, "").unwrap();
     let error = Store::open(&file.join("store"), "a").unwrap_err();
-    assert!(matches!(error, Error::Disk { .. }), "{error}");
+    assert!(matches!(error, StoreError::Disk { .. }), "{error}");
 }
 
 /// Receives the token of each notified requester, and whether its writes are durable.
@@ -259,7 +259,7 @@
     for _ in 0..3 {
         assert!(matches!(
             store.write(&[put_intent(2, IntentOutcome::InFlight)]),
-            Err(Error::Disk { .. })
+            Err(StoreError::Disk { .. })
         ));
     }
     disk.full.store(false, Ordering::Release);
