--- a/crates/benchmark/src/bench/load.rs
+++ b/crates/benchmark/src/bench/load.rs
@@ -5,7 +5,7 @@
 use crankpaddle_net::{clock, sleep, spawn, IdleSweeper, Stack};
 use crankpaddle_session_api::client::{self, ClientEvent};
 use crankpaddle_session_api::methods::Open;
-use crankpaddle_testbed::player::Client;
+use crankpaddle_testbed::player::PlayerClient;
 use crankpaddle_time::{nanoseconds, Time};
 use hdrhistogram::Histogram;
 use std::io;
@@ -219,12 +219,12 @@
     /// connection whose set-up failed is not reused, because it may still receive a late answer.
     fn set_up(
         &self,
-        reused: &mut Option<Client>,
+        reused: &mut Option<PlayerClient>,
         address: &SocketAddr,
     ) -> Result<Time, SetUpFailure> {
         let mut client = match reused.take() {
             Some(client) => client,
-            None => Client::connect(address, &self.sweeper)
+            None => PlayerClient::connect(address, &self.sweeper)
                 .map_err(|error| SetUpFailure::connection("connect", &error))?,
         };
         let answered_at = self.open_and_close(&mut client)?;
@@ -233,7 +233,7 @@
     }
 
     /// Opens and closes a session, and returns the time at which the open call was answered.
-    fn open_and_close(&self, client: &mut Client) -> Result<Time, SetUpFailure> {
+    fn open_and_close(&self, client: &mut PlayerClient) -> Result<Time, SetUpFailure> {
         let id = self.calls.fetch_add(2, Ordering::Relaxed);
         let open = open_params("measured", id);
         let deadline = clock::now() + ANSWER_TIMEOUT;
@@ -260,7 +260,7 @@
 
 /// Sends a call and waits for its answer; notifications of rung changes are ignored.
 fn request(
-    client: &mut Client,
+    client: &mut PlayerClient,
     call: String,
     deadline: Time,
     is_answer: impl Fn(&ClientEvent) -> bool,
@@ -286,7 +286,7 @@
     clients: Clients,
     address: SocketAddr,
     latencies: Mutex<Histogram<u64>>,
-    idle: Mutex<Vec<Client>>,
+    idle: Mutex<Vec<PlayerClient>>,
     failures: Mutex<Failures>,
 }
 
@@ -308,7 +308,7 @@
 struct OpenConnections {
     clients: Clients,
     address: SocketAddr,
-    idle: Mutex<Vec<Client>>,
+    idle: Mutex<Vec<PlayerClient>>,
     stop: AtomicBool,
 }
 
@@ -316,7 +316,7 @@
     /// Opens a connection, and a session on it if `with_session` is set; keeps both open until the run stops.
     fn run(&self, with_session: bool, opened: &WaitGroup) {
         let reused = lock(&self.idle).pop().filter(|_| with_session);
-        let connect = || Client::connect(&self.address, &self.clients.sweeper).ok();
+        let connect = || PlayerClient::connect(&self.address, &self.clients.sweeper).ok();
         let Some(mut client) = reused.or_else(connect) else {
             opened.done();
             return;
--- a/crates/benchmark/src/bench/mod.rs
+++ b/crates/benchmark/src/bench/mod.rs
@@ -7,7 +7,7 @@
 use crankpaddle_testbed::list_service::ListService;
 use crankpaddle_testbed::record::Recorder;
 use crankpaddle_testbed::script::{fleet_config, front_block, FLEET};
-use crankpaddle_testbed::server::{Fleet, Layout};
+use crankpaddle_testbed::server::{FleetLayout, SimulatedFleet};
 use load::Clients;
 use report::{median, Comparison, SideResult};
 use std::io;
@@ -55,7 +55,7 @@
 /// The stand-in servers, their list service, and the front's configuration.
 struct Environment {
     exe: PathBuf,
-    fleet: Arc<Fleet>,
+    fleet: Arc<SimulatedFleet>,
     _list_service: Arc<ListService>, // Kept so that the service runs as long as the servers.
     configuration: PathBuf,
 }
@@ -67,7 +67,7 @@
         let config =
             fleet_config(&text).map_err(|problems| io::Error::other(format!("{problems:?}")))?;
         let config = Arc::new(config);
-        let layout = Layout {
+        let layout = FleetLayout {
             count: 12,
             cores: 64,
             work: Duration::ZERO,
@@ -75,7 +75,7 @@
             segment: SEGMENT_LENGTH,
             seed: 1,
         };
-        let fleet = Fleet::start(config.clone(), &layout, Recorder::default())?;
+        let fleet = SimulatedFleet::start(config.clone(), &layout, Recorder::default())?;
         let list_service = ListService::start_for(&fleet, LIST_CHANGE_DELAY)?;
         let front_config = front_block(
             0,
--- a/crates/cli/src/testbed/cross_zone_summary.rs
+++ b/crates/cli/src/testbed/cross_zone_summary.rs
@@ -1,6 +1,6 @@
 //! Prints the cross-zone traffic of a played scenario and the use of its budgets.
-use crankpaddle_testbed::scenario_runner::Outcome;
-use crankpaddle_testbed::script::{Day, Kind};
+use crankpaddle_testbed::scenario_runner::ScenarioOutcome;
+use crankpaddle_testbed::script::{FaultKind, Scenario};
 use std::time::Duration;
 
 /// Length of the window over which rates of cross-zone traffic are averaged.
@@ -8,8 +8,8 @@
 
 /// Prints the utility by class, the peak rates, the use of each budget, and when the rate was back within the budgets after
 /// a zone's recovery. Rates are those of the servers' records, budgets those of the fronts' reports.
-pub(super) fn print_cross_zone_summary(scenario: &Day, outcome: &Outcome) {
-    for (class, utility) in &outcome.crossed.utility {
+pub(super) fn print_cross_zone_summary(scenario: &Scenario, outcome: &ScenarioOutcome) {
+    for (class, utility) in &outcome.cross_zone_traffic.utility {
         eprintln!("utility {class}: {utility:.0}");
     }
     print_peak(scenario, outcome);
@@ -17,10 +17,10 @@
     print_recovery(scenario, outcome);
 }
 
-fn print_peak(scenario: &Day, outcome: &Outcome) {
+fn print_peak(scenario: &Scenario, outcome: &ScenarioOutcome) {
     let end = outcome.start + scenario.length;
     let peak = outcome
-        .crossed
+        .cross_zone_traffic
         .peak(outcome.start, end, RATE_WINDOW_SECONDS);
     eprintln!(
         "cross-zone traffic: at most {:.0} kB/s over {RATE_WINDOW_SECONDS} s, {:.0} of it unpaid",
@@ -28,7 +28,7 @@
     );
 }
 
-fn print_budgets(outcome: &Outcome) {
+fn print_budgets(outcome: &ScenarioOutcome) {
     for budget in &outcome.reported.budgets {
         let overdraft_bytes = budget.overdraft_zone_down_bytes + budget.overdraft_zone_full_bytes;
         eprintln!(
@@ -38,7 +38,7 @@
     }
 }
 
-fn print_recovery(scenario: &Day, outcome: &Outcome) {
+fn print_recovery(scenario: &Scenario, outcome: &ScenarioOutcome) {
     let Some(recovered_at) = last_crash_end(scenario) else {
         return;
     };
@@ -51,7 +51,7 @@
     if budget_kb <= 0.0 {
         return;
     }
-    let seconds = outcome.crossed.below(
+    let seconds = outcome.cross_zone_traffic.below(
         budget_kb,
         outcome.start + recovered_at,
         outcome.start + scenario.length,
@@ -65,11 +65,11 @@
 }
 
 /// The time from the start of the scenario to the end of its last crash. `None` if it has no crash.
-fn last_crash_end(scenario: &Day) -> Option<Duration> {
+fn last_crash_end(scenario: &Scenario) -> Option<Duration> {
     scenario
         .faults
         .iter()
-        .filter(|fault| fault.kind == Kind::Crash)
+        .filter(|fault| fault.kind == FaultKind::Crash)
         .map(|fault| fault.at + fault.length)
         .max()
 }
--- a/crates/cli/src/testbed/files.rs
+++ b/crates/cli/src/testbed/files.rs
@@ -3,7 +3,7 @@
 use crankpaddle_config::{Config, Problem};
 use crankpaddle_testbed::record::Record;
 use crankpaddle_testbed::scenario_runner;
-use crankpaddle_testbed::script::{self, Day};
+use crankpaddle_testbed::script::{self, Scenario};
 use std::path::{Path, PathBuf};
 
 /// The directory of this process for files that are not kept.
@@ -21,13 +21,15 @@
 }
 
 /// Parses the configuration of a scenario's fleet.
-pub(super) fn fleet_config(scenario: &Day) -> Result<Config, CommandFailure> {
+pub(super) fn fleet_config(scenario: &Scenario) -> Result<Config, CommandFailure> {
     script::fleet_config(&scenario.fleet).map_err(|problems| invalid_script("fleet", &problems))
 }
 
 /// Reads a scenario, given by its built-in name or the path of its script.
-pub(super) fn read_scenario(name: &str) -> Result<Day, CommandFailure> {
-    let built_in = script::DAYS.iter().find(|(known, _)| *known == name);
+pub(super) fn read_scenario(name: &str) -> Result<Scenario, CommandFailure> {
+    let built_in = script::BUILT_IN_SCENARIOS
+        .iter()
+        .find(|(known, _)| *known == name);
     let parsed = match built_in {
         Some((_, text)) => parse_built_in(text),
         None => parse_file(Path::new(name), &read_script(name)?),
@@ -35,14 +37,14 @@
     parsed.map_err(|problems| invalid_script(name, &problems))
 }
 
-fn parse_built_in(text: &str) -> Result<Day, Vec<Problem>> {
+fn parse_built_in(text: &str) -> Result<Scenario, Vec<Problem>> {
     script::parse(text, |fleet| {
         script::built_in_fleet(fleet).ok_or_else(|| format!("{fleet:?} is not a built-in fleet"))
     })
 }
 
 /// Parses a script from a file. Its fleet is a built-in one or a file in the same directory.
-fn parse_file(path: &Path, text: &str) -> Result<Day, Vec<Problem>> {
+fn parse_file(path: &Path, text: &str) -> Result<Scenario, Vec<Problem>> {
     let dir = path.parent().unwrap_or(Path::new("."));
     script::parse(text, |fleet| {
         if let Some(fleet) = script::built_in_fleet(fleet) {
@@ -56,7 +58,10 @@
 
 fn read_script(name: &str) -> Result<String, CommandFailure> {
     std::fs::read_to_string(name).map_err(|error| {
-        let known: Vec<&str> = script::DAYS.iter().map(|(name, _)| *name).collect();
+        let known: Vec<&str> = script::BUILT_IN_SCENARIOS
+            .iter()
+            .map(|(name, _)| *name)
+            .collect();
         let known = known.join(", ");
         CommandFailure::invalid_input(format_args!(
             "{name}: {error}; the built-in scenarios are {known}"
--- a/crates/cli/src/testbed/fleet_processes.rs
+++ b/crates/cli/src/testbed/fleet_processes.rs
@@ -4,7 +4,7 @@
 use super::judge::breach_line;
 use crate::failure::CommandFailure;
 use crankpaddle_fault_simulation::Case;
-use crankpaddle_testbed::fleet::{self, Cost, Memory, Outcome, Plan};
+use crankpaddle_testbed::fleet::{self, Cost, FleetCaseOptions, FleetCaseOutcome, Retention};
 use crankpaddle_time::nanoseconds;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -26,48 +26,56 @@
 /// The case can't be played with processes, or a process can't be started.
 pub(super) fn play(case: &Case, args: &FleetArgs) -> Result<ExitCode, CommandFailure> {
     let mut exit_codes = Vec::new();
-    for memory in memories(args.memory) {
+    for retention in retentions(args.memory) {
         if case.needs_disks() {
-            eprintln!("-- what fronts keep: {}", printed_name(memory));
+            eprintln!("-- what fronts keep: {}", printed_name(retention));
         }
-        exit_codes.push(play_once(case, args, memory)?);
+        exit_codes.push(play_once(case, args, retention)?);
     }
     Ok(exit_codes.into_iter().next().unwrap_or(ExitCode::FAILURE))
 }
 
-fn memories(retention: RetentionArg) -> Vec<Memory> {
+fn retentions(retention: RetentionArg) -> Vec<Retention> {
     match retention {
-        RetentionArg::Preserved => vec![Memory::Preserved],
-        RetentionArg::Forgotten => vec![Memory::Forgotten],
-        RetentionArg::Trusted => vec![Memory::Trusted],
-        RetentionArg::All => vec![Memory::Preserved, Memory::Forgotten, Memory::Trusted],
+        RetentionArg::Preserved => vec![Retention::Preserved],
+        RetentionArg::Forgotten => vec![Retention::Forgotten],
+        RetentionArg::Trusted => vec![Retention::Trusted],
+        RetentionArg::All => vec![
+            Retention::Preserved,
+            Retention::Forgotten,
+            Retention::Trusted,
+        ],
     }
 }
 
 /// The name of a kind of retention in the documented output.
-fn printed_name(memory: Memory) -> &'static str {
-    match memory {
-        Memory::Preserved => "Kept",
-        Memory::Forgotten => "Forgotten",
-        Memory::Trusted => "Trusted",
+fn printed_name(retention: Retention) -> &'static str {
+    match retention {
+        Retention::Preserved => "Kept",
+        Retention::Forgotten => "Forgotten",
+        Retention::Trusted => "Trusted",
     }
 }
 
-fn play_once(case: &Case, args: &FleetArgs, memory: Memory) -> Result<ExitCode, CommandFailure> {
+fn play_once(
+    case: &Case,
+    args: &FleetArgs,
+    retention: Retention,
+) -> Result<ExitCode, CommandFailure> {
     check_playable(case, args.fronts)?;
     crankpaddle_net::start(None);
     let mut scenario = read_scenario(&case.day)?;
     scenario.rate = args.rate.unwrap_or(scenario.rate);
-    let plan = plan(args, memory)?;
-    let outcome = fleet::run(case, &scenario, &plan)?;
+    let options = options(args, retention)?;
+    let outcome = fleet::run(case, &scenario, &options)?;
     write_report(args.report.as_deref(), &outcome.records)?;
     print_outcome(case, args.fronts, &outcome);
-    if !outcome.good() {
-        eprintln!("configurations and logs: {}", plan.dir.display());
+    if !outcome.succeeded() {
+        eprintln!("configurations and logs: {}", options.dir.display());
         return Ok(ExitCode::FAILURE);
     }
     if args.dir.is_none() {
-        let _ = std::fs::remove_dir_all(&plan.dir); // A directory that is left in the temporary directory is harmless.
+        let _ = std::fs::remove_dir_all(&options.dir); // A directory that is left in the temporary directory is harmless.
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -86,13 +94,13 @@
     )))
 }
 
-fn plan(args: &FleetArgs, memory: Memory) -> Result<Plan, CommandFailure> {
+fn options(args: &FleetArgs, retention: Retention) -> Result<FleetCaseOptions, CommandFailure> {
     let exe = program_or_this(args.old.as_ref())?;
     let other_exe = match args.old {
         Some(_) => Some(program_or_this(args.new.as_ref())?),
         None => None,
     };
-    Ok(Plan {
+    Ok(FleetCaseOptions {
         exe,
         other: other_exe,
         seed: args.seed,
@@ -101,7 +109,7 @@
         workers: 1,
         probe_every: args.probe_every.clone(),
         peers: !args.without_peers,
-        memory,
+        retention,
     })
 }
 
@@ -110,13 +118,13 @@
     program.cloned().map_or_else(std::env::current_exe, Ok)
 }
 
-fn print_outcome(case: &Case, fronts: u32, outcome: &Outcome) {
+fn print_outcome(case: &Case, fronts: u32, outcome: &FleetCaseOutcome) {
     let (passed, all) = print_claims(&outcome.played);
     let verdict = &outcome.verdict;
     for breach in verdict.breaches.iter().take(MAX_PRINTED_LINES) {
         eprintln!("{}", breach_line(breach));
     }
-    for fault in outcome.faults.iter().take(MAX_PRINTED_LINES) {
+    for fault in outcome.failures.iter().take(MAX_PRINTED_LINES) {
         eprintln!("fault: {fault}");
     }
     eprintln!(
--- a/crates/cli/src/testbed/import.rs
+++ b/crates/cli/src/testbed/import.rs
@@ -1,7 +1,7 @@
 //! `crankpaddle lab import`: converts a day file of the bench into a script.
 use crate::failure::CommandFailure;
 use clap::Args;
-use crankpaddle_testbed::import::{import, Fit};
+use crankpaddle_testbed::import::{import, ImportScale};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -37,12 +37,12 @@
         .map_err(|error| CommandFailure::invalid_file(&args.file, error))?;
     let name = args.name.unwrap_or_else(|| file_stem(&args.file));
     let fleet_name = format!("{name}-fleet.textproto");
-    let fit = Fit {
+    let scale = ImportScale {
         rates: args.rates,
         servers: args.servers,
         fronts: args.fronts,
     };
-    let imported = import(&text, &name, &fleet_name, fit)
+    let imported = import(&text, &name, &fleet_name, scale)
         .map_err(|error| CommandFailure::invalid_file(&args.file, error))?;
     let script_path = args.into.join(format!("{name}.textproto"));
     write(&script_path, &imported.day)?;
--- a/crates/cli/src/testbed/judge.rs
+++ b/crates/cli/src/testbed/judge.rs
@@ -10,7 +10,7 @@
 
 /// Checks the records of a scenario against the rules of its fleet.
 pub(super) fn check_records(config: &Config, records: &[Record]) -> Verdict {
-    invariant_checker::judge(&Rules::of(config, DRAIN_GRACE, TIMING_TOLERANCE), records)
+    invariant_checker::check_invariants(&Rules::of(config, DRAIN_GRACE, TIMING_TOLERANCE), records)
 }
 
 /// Formats the violation of a rule as a line.
--- a/crates/cli/src/testbed/players.rs
+++ b/crates/cli/src/testbed/players.rs
@@ -8,7 +8,7 @@
 use crankpaddle_testbed::player::{FrontAddress, PlayerPool};
 use crankpaddle_testbed::record::Recorder;
 use crankpaddle_testbed::scenario_runner::{self, Arrival};
-use crankpaddle_testbed::script::Day;
+use crankpaddle_testbed::script::Scenario;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -34,8 +34,8 @@
     crankpaddle_net::start(None);
     let config = fleet_config(&scenario)?;
     let recorder = Recorder::default();
-    let habits = scenario_runner::habits(&scenario);
-    let players = Arc::new(PlayerPool::new(recorder.clone(), habits));
+    let player_behavior = scenario_runner::player_behavior(&scenario);
+    let players = Arc::new(PlayerPool::new(recorder.clone(), player_behavior));
     play_arrivals(front, &scenario, &config, seed, &players);
     while players.present_count() > 0 {
         std::thread::sleep(POLL_INTERVAL);
@@ -49,7 +49,7 @@
 /// Starts the visit of each arrival at its time.
 fn play_arrivals(
     front: SocketAddr,
-    scenario: &Day,
+    scenario: &Scenario,
     config: &Config,
     seed: u64,
     players: &Arc<PlayerPool>,
--- a/crates/cli/src/testbed/scenario.rs
+++ b/crates/cli/src/testbed/scenario.rs
@@ -4,7 +4,7 @@
 use super::judge::breach_line;
 use crate::failure::CommandFailure;
 use clap::Args;
-use crankpaddle_testbed::scenario_runner::{self, Outcome, Play};
+use crankpaddle_testbed::scenario_runner::{self, ScenarioOptions, ScenarioOutcome};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -55,34 +55,34 @@
         scenario.servers,
         scenario.seconds()
     );
-    let play = Play {
+    let options = ScenarioOptions {
         exe: std::env::current_exe()?,
         seed,
         dir: args.dir.clone().unwrap_or_else(temporary_dir),
         workers: args.workers,
         peers: args.peers,
     };
-    let outcome = scenario_runner::play(&scenario, &play)?;
+    let outcome = scenario_runner::play(&scenario, &options)?;
     write_report(args.report.as_deref(), &outcome.records)?;
     print_outcome(&outcome, args.most);
     print_cross_zone_summary(&scenario, &outcome);
     println!("day {}: {}", scenario.name, outcome.verdict);
-    if !outcome.good() {
-        eprintln!("the fronts' logs are in {}", play.dir.display());
+    if !outcome.succeeded() {
+        eprintln!("the fronts' logs are in {}", options.dir.display());
         return Ok(ExitCode::FAILURE);
     }
     if args.dir.is_none() {
-        let _ = std::fs::remove_dir_all(&play.dir); // A directory that is left in the temporary directory is harmless.
+        let _ = std::fs::remove_dir_all(&options.dir); // A directory that is left in the temporary directory is harmless.
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn print_outcome(outcome: &Outcome, max_breaches: usize) {
+fn print_outcome(outcome: &ScenarioOutcome, max_breaches: usize) {
     let verdict = &outcome.verdict;
     for breach in verdict.breaches.iter().take(max_breaches) {
         println!("{}", breach_line(breach));
     }
-    for fault in &outcome.faults {
+    for fault in &outcome.failures {
         println!("fault: {fault}");
     }
     let (sent_bytes, read_bytes) = (outcome.bytes.sent, outcome.bytes.read);
--- a/crates/cli/src/testbed/servers.rs
+++ b/crates/cli/src/testbed/servers.rs
@@ -5,7 +5,7 @@
 use crankpaddle_testbed::record::Recorder;
 use crankpaddle_testbed::scenario_runner;
 use crankpaddle_testbed::script;
-use crankpaddle_testbed::server::Fleet;
+use crankpaddle_testbed::server::SimulatedFleet;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     crankpaddle_net::start(None);
     let config = Arc::new(fleet_config(&scenario)?);
     let layout = scenario_runner::layout(&scenario, SERVER_SEED);
-    let fleet = Fleet::start(config.clone(), &layout, Recorder::default())?;
+    let fleet = SimulatedFleet::start(config.clone(), &layout, Recorder::default())?;
     let list = ListService::start_for(&fleet, scenario.list_delay)?;
     let front = script::front_block(0, 1, &config.zones[0], &list.address.to_string(), "");
     println!(
--- a/crates/cli/tests/power_harness/mod.rs
+++ b/crates/cli/tests/power_harness/mod.rs
@@ -8,7 +8,7 @@
 use crankpaddle_testbed::process::Process;
 use crankpaddle_testbed::record::{Recorder, Seen};
 use crankpaddle_testbed::script::{fleet_config, front_block, FLEET};
-use crankpaddle_testbed::server::{Fleet, Layout};
+use crankpaddle_testbed::server::{FleetLayout, SimulatedFleet};
 use player::{established, ApiPlayer};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -43,7 +43,7 @@
 /// Servers, a list service, and a front of which only the disk outlives its incarnations.
 pub(crate) struct PowerLossHarness {
     pub(crate) dir: TempDir,
-    pub(crate) fleet: Arc<Fleet>,
+    pub(crate) fleet: Arc<SimulatedFleet>,
     list: Arc<ListService>,
     recorder: Recorder,
     pub(crate) config: Arc<Config>,
@@ -58,7 +58,7 @@
         let config = Arc::new(fleet_config(FLEET).unwrap());
         let recorder = Recorder::default();
         // A set-up takes 300 ms of work, long enough for power to be lost while it is in progress.
-        let layout = Layout {
+        let layout = FleetLayout {
             count: SERVERS as usize,
             cores: 3,
             work: Duration::from_nanos(300_000_000),
@@ -66,7 +66,7 @@
             segment: Duration::from_nanos(200_000_000),
             seed: 3,
         };
-        let fleet = Fleet::start(config.clone(), &layout, recorder.clone()).unwrap();
+        let fleet = SimulatedFleet::start(config.clone(), &layout, recorder.clone()).unwrap();
         let entries = fleet
             .servers
             .iter()
@@ -137,14 +137,15 @@
     /// Sets whether servers run set-ups without answering.
     pub(crate) fn set_hanging(&self, hangs: bool) {
         for id in 0..SERVERS {
-            self.fleet.set_mode(id, |mode| mode.hangs = hangs);
+            self.fleet.set_faults(id, |faults| faults.hangs = hangs);
         }
     }
 
     /// Sets whether servers are unreachable.
     pub(crate) fn set_vanished(&self, vanished: bool) {
         for id in 0..SERVERS {
-            self.fleet.set_mode(id, |mode| mode.vanished = vanished);
+            self.fleet
+                .set_faults(id, |faults| faults.vanished = vanished);
         }
     }
 
--- a/crates/daemon/tests/described/failures.rs
+++ b/crates/daemon/tests/described/failures.rs
@@ -12,7 +12,7 @@
     let address = harness.daemon.address();
     let mut player = RecordedPlayer::connect(address, version, transcript);
     fail_at_servers(&harness, &mut player);
-    harness.set_modes(|mode| (mode.bills_and_resets, mode.hangs) = (0.0, true));
+    harness.set_faults_on_all(|faults| (faults.bills_and_resets, faults.hangs) = (0.0, true));
     let leaving = RecordedPlayer::connect(address, version, transcript);
     disconnect_during_set_up(&harness, leaving);
     let second = RecordedPlayer::connect(address, version, transcript);
@@ -26,10 +26,10 @@
 }
 
 fn fail_at_servers(harness: &Harness, player: &mut RecordedPlayer) {
-    harness.set_modes(|mode| mode.errors = 1.0);
+    harness.set_faults_on_all(|faults| faults.errors = 1.0);
     let failed = player.open("error-paid-1", PAID, "clip-00");
     assert_eq!(reason(&failed), "server_error");
-    harness.set_modes(|mode| (mode.errors, mode.bills_and_resets) = (0.0, 1.0));
+    harness.set_faults_on_all(|faults| (faults.errors, faults.bills_and_resets) = (0.0, 1.0));
     let reset = player.open("reset-paid-1", PAID, "clip-05");
     assert_eq!(reason(&reset), "broken");
 }
--- a/crates/daemon/tests/described/http.rs
+++ b/crates/daemon/tests/described/http.rs
@@ -165,7 +165,7 @@
     assert_eq!(transcript.get(address, "/session"), 503);
     drop(others);
     // One request is kept pending, so that the front is still draining while the player is notified of the shutdown.
-    harness.set_modes(|mode| mode.hangs = true);
+    harness.set_faults_on_all(|faults| faults.hangs = true);
     player.send_call("session.open", open_params("kept-waiting", PAID, "clip-01"));
     wait_until("its attempt to arrive at a server", || {
         harness.set_ups_and_bills("kept-waiting").0 == 1
--- a/crates/daemon/tests/described/previous_incarnations.rs
+++ b/crates/daemon/tests/described/previous_incarnations.rs
@@ -103,7 +103,7 @@
     let backend = Backend::new(&[("log {", &block)]);
     backend
         .fleet
-        .set_mode(UNREACHABLE_SERVER, |mode| mode.vanished = true);
+        .set_faults(UNREACHABLE_SERVER, |faults| faults.vanished = true);
     let daemon = backend.start_front();
     for stage in ["settling", "paid"] {
         let words = format!("\"stage\":\"{stage}\",\"steps\"");
@@ -111,7 +111,7 @@
     }
     backend
         .fleet
-        .set_mode(UNREACHABLE_SERVER, |mode| mode.vanished = false);
+        .set_faults(UNREACHABLE_SERVER, |faults| faults.vanished = false);
     daemon.drain();
     daemon.wait();
 }
@@ -120,10 +120,10 @@
     let late = start_harness_on(&[("log {", &stores.config_block("late"))], |backend| {
         backend
             .fleet
-            .set_mode(UNREACHABLE_SERVER, |mode| mode.vanished = true);
+            .set_faults(UNREACHABLE_SERVER, |faults| faults.vanished = true);
     });
     wait_for_status(transcript, &late, &["\"power_lost\"", "\"time\""]);
-    late.set_modes(|mode| mode.vanished = false);
+    late.set_faults_on_all(|faults| faults.vanished = false);
 }
 
 /// Starts a front whose store can't be created, because its folder would be below a file.
--- a/crates/daemon/tests/edges/calls.rs
+++ b/crates/daemon/tests/edges/calls.rs
@@ -92,7 +92,7 @@
     let harness = Harness::new(&[]);
     // clip-05 is in cells 1 to 3 and is established at once; clip-18 is in cells 6 to 8, whose servers never answer.
     for id in 6..9 {
-        harness.fleet.set_mode(id, |mode| mode.hangs = true);
+        harness.fleet.set_faults(id, |faults| faults.hangs = true);
     }
     let mut player = harness.connect_player();
     let open = |id: u32, title: &str| {
--- a/crates/daemon/tests/edges/lifecycle.rs
+++ b/crates/daemon/tests/edges/lifecycle.rs
@@ -46,7 +46,7 @@
     let mut playing = harness.connect_player();
     let (_, event) = playing.open_and_wait("plays-on", FREE);
     assert!(matches!(event, ClientEvent::Plays { .. }));
-    harness.set_modes(|mode| mode.hangs = true);
+    harness.set_faults_on_all(|faults| faults.hangs = true);
     let mut waiting = harness.connect_player();
     let call = waiting.call_open("under-way", PAID);
     wait_until("the set-up to arrive", || {
@@ -64,7 +64,7 @@
         health.starts_with("HTTP/1.1 503 ") && health.contains("draining"),
         "{health}"
     );
-    harness.set_modes(|mode| mode.hangs = false);
+    harness.set_faults_on_all(|faults| faults.hangs = false);
     assert!(
         matches!(waiting.receive(), ClientEvent::Plays { id, .. } if id == call),
         "a pending request must be answered"
--- a/crates/daemon/tests/edges/limits.rs
+++ b/crates/daemon/tests/edges/limits.rs
@@ -11,7 +11,7 @@
         "open_requests_per_connection: 64",
         "open_requests_per_connection: 3",
     )]);
-    harness.set_modes(|mode| mode.hangs = true);
+    harness.set_faults_on_all(|faults| faults.hangs = true);
     let mut player = harness.connect_player();
     let titles = ["clip-00", "clip-01", "clip-02", "clip-04", "clip-05"];
     let calls: Vec<u64> = titles
--- a/crates/daemon/tests/edges/server_starts.rs
+++ b/crates/daemon/tests/edges/server_starts.rs
@@ -17,7 +17,7 @@
             assert_eq!(*id, call);
             player.close_session(session);
         }
-        (1..4).all(|id| harness.fleet.servers[id].listeners() > 0)
+        (1..4).all(|id| harness.fleet.servers[id].event_stream_count() > 0)
     });
     for id in 1..4 {
         harness.fleet.crash(id);
@@ -32,7 +32,7 @@
         if let ClientEvent::Plays { session, .. } = &event {
             player.close_session(session);
         }
-        (1..4).all(|id| harness.fleet.servers[id].listeners() > 0)
+        (1..4).all(|id| harness.fleet.servers[id].event_stream_count() > 0)
     });
     let mut crowd = harness.connect_player();
     let calls = (0..40)
@@ -57,13 +57,13 @@
 #[test]
 fn without_the_list_service_the_front_subscribes_to_all_servers_and_notices_their_starts() {
     let harness = Harness::new(&[]);
-    harness.list.set_gone(true);
+    harness.list.set_unavailable(true);
     wait_until("each server to have a subscriber", || {
         harness
             .fleet
             .servers
             .iter()
-            .all(|server| server.listeners() > 0)
+            .all(|server| server.event_stream_count() > 0)
     });
     for id in 0..12 {
         harness.fleet.crash(id);
@@ -74,7 +74,7 @@
             .fleet
             .servers
             .iter()
-            .all(|server| server.listeners() > 0)
+            .all(|server| server.event_stream_count() > 0)
     });
     let mut player = harness.connect_player();
     // It is established, which loads a server, or rejected for lack of a slot, which shows that the starts are known.
--- a/crates/daemon/tests/http_texts.rs
+++ b/crates/daemon/tests/http_texts.rs
@@ -53,7 +53,7 @@
     wait_until("both connections to be counted", || {
         get_body(address, "/health") == ready
     });
-    harness.set_modes(|mode| mode.hangs = true);
+    harness.set_faults_on_all(|faults| faults.hangs = true);
     player.call_open(2, "health-0002", PAID);
     wait_until("its attempt to arrive at a server", || {
         harness.set_ups_and_bills("health-0002").0 == 1
--- a/crates/daemon/tests/paid.rs
+++ b/crates/daemon/tests/paid.rs
@@ -3,7 +3,7 @@
 mod support;
 use crankpaddle_session_api::client::ClientEvent;
 use crankpaddle_store::Store;
-use crankpaddle_testbed::disk::Poor;
+use crankpaddle_testbed::disk::FaultyDisk;
 use crankpaddle_testbed::record::Seen;
 use std::io::{Read, Write};
 use std::path::Path;
@@ -22,7 +22,7 @@
 }
 
 /// Starts a front whose store is on a simulated disk.
-fn start_on(disk: &Poor) -> (Harness, TempDir) {
+fn start_on(disk: &FaultyDisk) -> (Harness, TempDir) {
     let dir = tempfile::tempdir().unwrap();
     let block = store_block(dir.path(), &dir.path().join("store"));
     let backend = Backend::new(&[("log {", &block)]);
@@ -51,9 +51,9 @@
 
 #[test]
 fn a_paid_set_up_is_sent_when_its_intent_is_on_disk_and_free_ones_never_wait() {
-    let disk = Poor::new();
+    let disk = FaultyDisk::new();
     let (harness, _dir) = start_on(&disk);
-    disk.slow.store(400, Ordering::Release);
+    disk.sync_delay_ms.store(400, Ordering::Release);
     let (mut paying, mut other) = (harness.connect_player(), harness.connect_player());
     let started_at = Instant::now();
     paying.call_open("slow-paid", PAID);
@@ -74,9 +74,9 @@
 
 #[test]
 fn a_disk_slower_than_the_viewers_timeout_rejects_the_request_and_nothing_is_sent() {
-    let disk = Poor::new();
+    let disk = FaultyDisk::new();
     let (harness, _dir) = start_on(&disk);
-    disk.slow.store(2500, Ordering::Release);
+    disk.sync_delay_ms.store(2500, Ordering::Release);
     let mut paying = harness.connect_player();
     let started_at = Instant::now();
     let (_, event) = paying.open_and_wait("too-slow", PAID);
@@ -102,14 +102,14 @@
 
 #[test]
 fn with_a_full_disk_paid_set_ups_are_rejected_until_it_has_space_and_free_classes_are_served() {
-    let disk = Poor::new();
+    let disk = FaultyDisk::new();
     let (harness, _dir) = start_on(&disk);
     let mut player = harness.connect_player();
     assert!(matches!(
         player.open_and_wait("before-full", PAID).1,
         ClientEvent::Plays { .. }
     ));
-    disk.full.store(true, Ordering::Release);
+    disk.is_full.store(true, Ordering::Release);
     let (_, event) = player.open_and_wait("while-full", PAID);
     assert!(
         matches!(event, ClientEvent::Refused { .. }),
@@ -126,7 +126,7 @@
         player.open_and_wait("free-full", FREE).1,
         ClientEvent::Plays { .. }
     ));
-    disk.full.store(false, Ordering::Release);
+    disk.is_full.store(false, Ordering::Release);
     wait_until("the front to write to the disk again", || {
         let mut player = harness.connect_player();
         matches!(
--- a/crates/daemon/tests/player_texts.rs
+++ b/crates/daemon/tests/player_texts.rs
@@ -112,12 +112,12 @@
         player.open(3, "spent-0001", PAID),
         r#"{"error":{"code":-32002,"data":{"reason":"key_spent"},"message":"failed"},"id":3,"jsonrpc":"2.0"}"#
     );
-    harness.set_modes(|mode| mode.errors = 1.0);
+    harness.set_faults_on_all(|faults| faults.errors = 1.0);
     assert_eq!(
         player.open(4, "error-0001", PAID),
         r#"{"error":{"code":-32002,"data":{"reason":"server_error"},"message":"failed"},"id":4,"jsonrpc":"2.0"}"#
     );
-    harness.set_modes(|mode| (mode.errors, mode.hangs) = (0.0, true));
+    harness.set_faults_on_all(|faults| (faults.errors, faults.hangs) = (0.0, true));
     player.call_open(5, "hangs-0001", PAID);
     wait_until("its attempt to arrive at a server", || {
         harness.set_ups_and_bills("hangs-0001").0 == 1
--- a/crates/daemon/tests/set_ups.rs
+++ b/crates/daemon/tests/set_ups.rs
@@ -16,7 +16,7 @@
 #[test]
 fn an_unanswered_paid_set_up_fails_once_before_the_viewers_timeout() {
     let harness = Harness::new(&[]);
-    harness.set_modes(|mode| mode.hangs = true);
+    harness.set_faults_on_all(|faults| faults.hangs = true);
     let mut player = harness.connect_player();
     let started_at = Instant::now();
     let (call, event) = player.open_and_wait("silent-paid", PAID);
@@ -40,7 +40,7 @@
         (reason(&again), harness.set_ups_and_bills("silent-paid")),
         ("no_answer", (1, 1))
     );
-    harness.set_modes(|mode| mode.hangs = false);
+    harness.set_faults_on_all(|faults| faults.hangs = false);
     wait_until("the server to end the session", || {
         harness.fleet.streams() == 0
     });
@@ -50,11 +50,11 @@
 #[test]
 fn an_answer_after_the_viewers_timeout_changes_nothing() {
     let harness = Harness::new(&[]);
-    harness.set_modes(|mode| mode.hangs = true);
+    harness.set_faults_on_all(|faults| faults.hangs = true);
     let mut player = harness.connect_player();
     let (_, event) = player.open_and_wait("late-paid", PAID);
     assert_eq!(reason(&event), "no_answer");
-    harness.set_modes(|mode| mode.hangs = false); // The server answers from now on.
+    harness.set_faults_on_all(|faults| faults.hangs = false); // The server answers from now on.
     assert!(
         player.is_silent(Duration::from_millis(300)),
         "the request must not get a second answer"
@@ -74,7 +74,7 @@
 #[test]
 fn a_reset_after_billing_is_reported_as_a_failure_and_never_retried() {
     let harness = Harness::new(&[]);
-    harness.set_modes(|mode| mode.bills_and_resets = 1.0);
+    harness.set_faults_on_all(|faults| faults.bills_and_resets = 1.0);
     let mut player = harness.connect_player();
     let (_, event) = player.open_and_wait("billed-reset", PAID);
     assert_eq!(
@@ -117,7 +117,7 @@
 #[test]
 fn a_player_that_reconnects_during_an_attempt_is_attached_to_it() {
     let harness = Harness::new(&[]);
-    harness.set_modes(|mode| mode.hangs = true);
+    harness.set_faults_on_all(|faults| faults.hangs = true);
     let mut first = harness.connect_player();
     first.call_open("reconnects", PAID);
     wait_until("the set-up to arrive", || {
@@ -126,7 +126,7 @@
     drop(first);
     let mut second = harness.connect_player();
     let call = second.call_open("reconnects", PAID);
-    harness.set_modes(|mode| mode.hangs = false);
+    harness.set_faults_on_all(|faults| faults.hangs = false);
     let event = second.receive();
     assert!(
         matches!(event, ClientEvent::Plays { id, .. } if id == call),
@@ -145,7 +145,7 @@
 fn a_player_that_disconnects_during_an_attempt_leaves_nothing_behind() {
     let harness = Harness::new(&[]);
     for class in [FREE, PAID] {
-        harness.set_modes(|mode| mode.hangs = true);
+        harness.set_faults_on_all(|faults| faults.hangs = true);
         let mut player = harness.connect_player();
         let key = format!("gone-{class}");
         player.call_open(&key, class);
@@ -153,7 +153,7 @@
             harness.set_ups_and_bills(&key).0 == 1
         });
         drop(player);
-        harness.set_modes(|mode| mode.hangs = false);
+        harness.set_faults_on_all(|faults| faults.hangs = false);
         wait_until("the session to end", || {
             harness.daemon.work_in_progress() == IDLE && harness.fleet.streams() == 0
         });
@@ -165,7 +165,7 @@
 #[test]
 fn two_players_with_the_same_key_get_one_answer_each_and_share_one_session() {
     let harness = Harness::new(&[]);
-    harness.set_modes(|mode| mode.hangs = true);
+    harness.set_faults_on_all(|faults| faults.hangs = true);
     let (mut first, mut second) = (harness.connect_player(), harness.connect_player());
     let call = first.call_open("claimed-by-two", PAID);
     wait_until("the set-up to arrive", || {
@@ -173,7 +173,7 @@
     });
     let other = second.call_open("claimed-by-two", PAID);
     assert_eq!(first.receive(), ClientEvent::Superseded { id: call });
-    harness.set_modes(|mode| mode.hangs = false);
+    harness.set_faults_on_all(|faults| faults.hangs = false);
     let ClientEvent::Plays { id, session, .. } = second.receive() else {
         panic!()
     };
@@ -201,7 +201,7 @@
 #[test]
 fn a_server_that_sends_one_byte_a_second_delays_no_answer() {
     let harness = Harness::new(&[]);
-    harness.set_modes(|mode| mode.trickles = true);
+    harness.set_faults_on_all(|faults| faults.trickles = true);
     let mut player = harness.connect_player();
     let started_at = Instant::now();
     let (_, event) = player.open_and_wait("trickle-paid", PAID);
@@ -227,7 +227,7 @@
 #[test]
 fn fast_failures_are_retried_for_free_classes_and_reported_for_paid_ones() {
     let harness = Harness::new(&[]);
-    harness.set_modes(|mode| mode.errors = 1.0);
+    harness.set_faults_on_all(|faults| faults.errors = 1.0);
     let mut player = harness.connect_player();
     let (_, event) = player.open_and_wait("errors-paid", PAID);
     assert_eq!(
@@ -296,7 +296,7 @@
     let mut player = harness.connect_player();
     let (_, event) = player.open_and_wait("silent-later", FREE);
     assert!(matches!(event, ClientEvent::Plays { .. }));
-    harness.set_modes(|mode| mode.vanished = true);
+    harness.set_faults_on_all(|faults| faults.vanished = true);
     let event = player.receive();
     assert!(
         matches!(&event, ClientEvent::End { reason, .. } if reason == "server_lost"),
--- a/crates/daemon/tests/support/backend.rs
+++ b/crates/daemon/tests/support/backend.rs
@@ -4,7 +4,7 @@
 use crankpaddle_testbed::list_service::{entry, EndpointState, ListService};
 use crankpaddle_testbed::record::Recorder;
 use crankpaddle_testbed::script::{front_block, FLEET};
-use crankpaddle_testbed::server::{Fleet, Layout};
+use crankpaddle_testbed::server::{FleetLayout, SimulatedFleet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,13 +40,13 @@
 }
 
 /// Starts the simulated servers.
-pub(crate) fn start_fleet(fleet_text: &str) -> (Arc<Config>, Arc<Fleet>, Recorder) {
+pub(crate) fn start_fleet(fleet_text: &str) -> (Arc<Config>, Arc<SimulatedFleet>, Recorder) {
     crankpaddle_net::start(Some(2));
     let no_list = "127.0.0.1:1".parse().unwrap();
     let text = front_text(fleet_text, &no_list, "");
     let config = Arc::new(crankpaddle_config::parse(&text).unwrap());
     let recorder = Recorder::default();
-    let layout = Layout {
+    let layout = FleetLayout {
         count: 12,
         cores: 3,
         work: Duration::from_nanos(20_000_000),
@@ -54,14 +54,14 @@
         segment: Duration::from_nanos(200_000_000),
         seed: 3,
     };
-    let fleet = Fleet::start(config.clone(), &layout, recorder.clone()).unwrap();
+    let fleet = SimulatedFleet::start(config.clone(), &layout, recorder.clone()).unwrap();
     (config, fleet, recorder)
 }
 
 /// Starts a list service that lists all servers.
 pub(crate) fn start_list_service(
     config: &Config,
-    fleet: &Fleet,
+    fleet: &SimulatedFleet,
     recorder: &Recorder,
 ) -> Arc<ListService> {
     let servers = fleet.servers.iter();
@@ -74,7 +74,7 @@
 /// Simulated servers and a list service, without a front.
 pub(crate) struct Backend {
     pub config: Arc<Config>,
-    pub fleet: Arc<Fleet>,
+    pub fleet: Arc<SimulatedFleet>,
     pub list: Arc<ListService>,
     pub recorder: Recorder,
     fleet_text: String,
--- a/crates/daemon/tests/support/harness.rs
+++ b/crates/daemon/tests/support/harness.rs
@@ -3,11 +3,11 @@
 use crankpaddle_config::Config;
 use crankpaddle_daemon::Daemon;
 use crankpaddle_session_api::client::ClientEvent;
-use crankpaddle_testbed::fault_mode::Mode;
-use crankpaddle_testbed::invariant_checker::{judge, Rules, Verdict};
+use crankpaddle_testbed::fault_mode::ServerFaults;
+use crankpaddle_testbed::invariant_checker::{check_invariants, Rules, Verdict};
 use crankpaddle_testbed::list_service::ListService;
 use crankpaddle_testbed::record::{Record, Recorder, Seen};
-use crankpaddle_testbed::server::Fleet;
+use crankpaddle_testbed::server::SimulatedFleet;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 /// A front with its servers and its list service.
 pub(crate) struct Harness {
     pub config: Arc<Config>,
-    pub fleet: Arc<Fleet>,
+    pub fleet: Arc<SimulatedFleet>,
     pub list: Arc<ListService>,
     pub daemon: Daemon,
     pub recorder: Recorder,
@@ -89,9 +89,9 @@
     }
 
     /// Changes the behavior of all servers.
-    pub(crate) fn set_modes(&self, change: impl Fn(&mut Mode)) {
+    pub(crate) fn set_faults_on_all(&self, change: impl Fn(&mut ServerFaults)) {
         for id in 0..12 {
-            self.fleet.set_mode(id, &change);
+            self.fleet.set_faults(id, &change);
         }
     }
 
@@ -118,7 +118,7 @@
         let drain_grace = Duration::from_nanos(1_000_000_000);
         let tolerance = Duration::from_nanos(150_000_000);
         let rules = Rules::of(&self.config, drain_grace, tolerance);
-        judge(&rules, &records)
+        check_invariants(&rules, &records)
     }
 
     pub(crate) fn connect_player(&self) -> TestPlayer {
--- a/crates/daemon/tests/traffic.rs
+++ b/crates/daemon/tests/traffic.rs
@@ -4,7 +4,7 @@
 use crankpaddle_cross_zone_traffic::report::TrafficReport;
 use crankpaddle_daemon::Daemon;
 use crankpaddle_session_api::client::ClientEvent;
-use crankpaddle_testbed::crossing::crossed;
+use crankpaddle_testbed::crossing::cross_zone_traffic;
 use crankpaddle_testbed::list_service::{entry, EndpointState};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -149,7 +149,7 @@
         harness.daemon.work_in_progress() == IDLE
             && fetch_report(harness.daemon.address()).unsettled_sessions == 0
     });
-    let recorded = crossed(&harness.recorder.all(), &harness.config);
+    let recorded = cross_zone_traffic(&harness.recorder.all(), &harness.config);
     let reported = fetch_report(harness.daemon.address());
     assert!(recorded.bytes.values().sum::<u64>() > 0);
     for (crossing, bytes) in &recorded.bytes {
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -4,7 +4,7 @@
 use common::{intent, key, put_intent, recovered_entries};
 use crankpaddle_recovery::{IntentOutcome, PreviousShutdown, StoreWrite};
 use crankpaddle_store::{QuarantinedFile, Store, StoreError, StoreWriter, WriteRequest};
-use crankpaddle_testbed::disk::Poor;
+use crankpaddle_testbed::disk::FaultyDisk;
 use std::fs;
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -193,7 +193,7 @@
     notifications.recv_timeout(WRITE_TIMEOUT).unwrap()
 }
 
-fn start_writer(disk: &Poor) -> (StoreWriter, Notifications) {
+fn start_writer(disk: &FaultyDisk) -> (StoreWriter, Notifications) {
     let store = Store::open_backend(disk.clone(), "a").unwrap().store;
     let (sender, notifications) = mpsc::channel();
     let writer = StoreWriter::start(store, move |token, result| {
@@ -212,9 +212,9 @@
 
 #[test]
 fn requests_that_arrive_while_the_disk_is_busy_are_committed_together() {
-    let disk = Poor::new();
+    let disk = FaultyDisk::new();
     let (writer, notifications) = start_writer(&disk);
-    disk.slow.store(100, Ordering::Release);
+    disk.sync_delay_ms.store(100, Ordering::Release);
     let before = disk.syncs.load(Ordering::Acquire);
     for number in 0..200 {
         writer.submit(waiting_request(number));
@@ -236,11 +236,11 @@
 
 #[test]
 fn each_requester_is_notified_of_a_full_disk() {
-    let disk = Poor::new();
+    let disk = FaultyDisk::new();
     let (writer, notifications) = start_writer(&disk);
     writer.submit(waiting_request(1));
     assert_eq!(next_notification(&notifications), (1, true));
-    disk.full.store(true, Ordering::Release);
+    disk.is_full.store(true, Ordering::Release);
     for number in 2..30 {
         writer.submit(waiting_request(number));
         assert_eq!(next_notification(&notifications), (number, false));
@@ -250,19 +250,19 @@
 
 #[test]
 fn writes_succeed_again_once_the_disk_has_space_and_durable_ones_are_kept() {
-    let disk = Poor::new();
+    let disk = FaultyDisk::new();
     let mut store = Store::open_backend(disk.clone(), "a").unwrap().store;
     store
         .write(&[put_intent(1, IntentOutcome::InFlight)])
         .unwrap();
-    disk.full.store(true, Ordering::Release);
+    disk.is_full.store(true, Ordering::Release);
     for _ in 0..3 {
         assert!(matches!(
             store.write(&[put_intent(2, IntentOutcome::InFlight)]),
             Err(StoreError::Disk { .. })
         ));
     }
-    disk.full.store(false, Ordering::Release);
+    disk.is_full.store(false, Ordering::Release);
     store
         .write(&[put_intent(3, IntentOutcome::InFlight)])
         .unwrap();
--- a/crates/testbed/src/crossing.rs
+++ b/crates/testbed/src/crossing.rs
@@ -105,7 +105,7 @@
 
 /// Computes traffic and utility from records that are sorted by time. Only sessions that have ended are counted.
 #[must_use]
-pub fn crossed(records: &[Record], config: &Config) -> CrossZoneTraffic {
+pub fn cross_zone_traffic(records: &[Record], config: &Config) -> CrossZoneTraffic {
     let mut traffic = CrossZoneTraffic::default();
     let mut sessions: HashMap<&str, PlayedSession<'_>> = HashMap::new();
     for Record { at, seen } in records {
--- a/crates/testbed/src/crossing/tests.rs
+++ b/crates/testbed/src/crossing/tests.rs
@@ -45,7 +45,7 @@
 #[test]
 fn rates_utility_and_flows_are_computed_from_records() {
     let config = fleet_config(FLEET).unwrap();
-    let traffic = crossed(&session_records(), &config);
+    let traffic = cross_zone_traffic(&session_records(), &config);
     let close = |actual: f64, expected: f64| (actual - expected).abs() < 1e-6 * expected.max(1.0);
     assert!(close(traffic.seconds[&105].paid, 28.0) && close(traffic.seconds[&115].paid, 140.0));
     assert!(close(
--- a/crates/testbed/src/disk.rs
+++ b/crates/testbed/src/disk.rs
@@ -8,43 +8,43 @@
 
 /// A storage backend whose faults are switched on by its public fields. Clones share the same data and faults.
 #[derive(Clone, Debug)]
-pub struct Poor {
+pub struct FaultyDisk {
     inner: Arc<InMemoryBackend>,
     /// Whether the disk is full, so that writes and syncs fail.
-    pub full: Arc<AtomicBool>,
-    /// Extra duration of each sync, milliseconds; 0 means none.
-    pub slow: Arc<AtomicU64>,
+    pub is_full: Arc<AtomicBool>,
+    /// Extra duration of each sync in milliseconds; 0 means none.
+    pub sync_delay_ms: Arc<AtomicU64>,
     /// Number of syncs that were started; syncs of a full disk are not counted.
     pub syncs: Arc<AtomicU64>,
 }
 
-impl Default for Poor {
-    fn default() -> Poor {
-        Poor::new()
+impl Default for FaultyDisk {
+    fn default() -> FaultyDisk {
+        FaultyDisk::new()
     }
 }
 
-impl Poor {
+impl FaultyDisk {
     /// An empty disk without faults.
     #[must_use]
-    pub fn new() -> Poor {
-        Poor {
+    pub fn new() -> FaultyDisk {
+        FaultyDisk {
             inner: Arc::new(InMemoryBackend::new()),
-            full: Arc::default(),
-            slow: Arc::default(),
+            is_full: Arc::default(),
+            sync_delay_ms: Arc::default(),
             syncs: Arc::default(),
         }
     }
 
     fn check_capacity(&self) -> Result<(), Error> {
-        if self.full.load(Ordering::Acquire) {
+        if self.is_full.load(Ordering::Acquire) {
             return Err(Error::from(ErrorKind::StorageFull));
         }
         Ok(())
     }
 }
 
-impl StorageBackend for Poor {
+impl StorageBackend for FaultyDisk {
     fn len(&self) -> Result<u64, Error> {
         self.inner.len()
     }
@@ -61,7 +61,9 @@
     fn sync_data(&self) -> Result<(), Error> {
         self.check_capacity()?;
         self.syncs.fetch_add(1, Ordering::AcqRel);
-        std::thread::sleep(Duration::from_millis(self.slow.load(Ordering::Acquire)));
+        std::thread::sleep(Duration::from_millis(
+            self.sync_delay_ms.load(Ordering::Acquire),
+        ));
         self.inner.sync_data()
     }
 
--- a/crates/testbed/src/fault_mode.rs
+++ b/crates/testbed/src/fault_mode.rs
@@ -14,7 +14,7 @@
 
 /// The active faults of a server. The default is a server without faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mode {
+pub struct ServerFaults {
     /// Whether the server accepts set-ups but doesn't answer them. Paid set-ups are billed nevertheless, and no media is sent.
     pub hangs: bool,
     /// Whether the server neither receives nor sends.
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -10,15 +10,15 @@
 mod power;
 mod processes;
 
-pub use crate::host_faults::Memory;
+pub use crate::host_faults::Retention;
 use crate::host_faults::SimulatedHosts;
-use crate::invariant_checker::{judge, Rules, Verdict};
+use crate::invariant_checker::{check_invariants, Rules, Verdict};
 use crate::membership_poll::MembershipPoll;
 use crate::player::{FrontFinder, PlayerBehavior, PlayerPool};
 use crate::process::Process;
 use crate::record::{Record, Recorder, Seen};
-use crate::scenario_runner::{habits, DRAIN_GRACE, TIMING_TOLERANCE};
-use crate::script::Day;
+use crate::scenario_runner::{player_behavior, DRAIN_GRACE, TIMING_TOLERANCE};
+use crate::script::Scenario;
 use crate::stage::SimulatedBackend;
 use crate::udp_proxy::{write_key, PeerNetwork};
 use crate::wind_down::{wait_for_players, wait_for_streams};
@@ -42,7 +42,7 @@
 
 /// How a fleet case is played.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct FleetCaseOptions {
     /// The program that runs a front; it is called as `EXE front -c FILE`.
     pub exe: PathBuf,
     /// The other build for cases in which fronts of two builds form a fleet; `None` where all fronts run `exe`.
@@ -60,37 +60,37 @@
     /// Whether the fronts form a membership. Claims about members can hold only if they do.
     pub peers: bool,
     /// What fronts persist over a power loss.
-    pub memory: Memory,
+    pub retention: Retention,
 }
 
 /// The results of a fleet case.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct FleetCaseOutcome {
     /// The result of the case's claims.
     pub played: CaseResult,
     /// The result of the invariant checker.
     pub verdict: Verdict,
     /// Descriptions of what went wrong outside claims and rules: fronts that ended with an error, streams left at servers,
     /// membership changes that were missed.
-    pub faults: Vec<String>,
+    pub failures: Vec<String>,
     /// All records, sorted by time.
     pub records: Vec<Record>,
     /// Processor time and answer latency of the fronts.
     pub cost: Cost,
 }
 
-impl Outcome {
+impl FleetCaseOutcome {
     /// Whether all claims held, all rules were kept and nothing else went wrong.
     #[must_use]
-    pub fn good(&self) -> bool {
+    pub fn succeeded(&self) -> bool {
         let (satisfied, total) = self.played.satisfied_claims();
-        satisfied == total && self.verdict.breaches.is_empty() && self.faults.is_empty()
+        satisfied == total && self.verdict.breaches.is_empty() && self.failures.is_empty()
     }
 }
 
 /// A cluster of front processes with everything that they run against. Fronts are numbered from 0.
 struct ProcessCluster<'a> {
-    plan: &'a Plan,
+    options: &'a FleetCaseOptions,
     backend: &'a SimulatedBackend,
     /// Numbers of the fronts that the configurations of all fronts name as seeds of the membership.
     seeds: Vec<usize>,
@@ -215,45 +215,55 @@
     }
 }
 
-/// Plays a case to its end, with the traffic of the scenario `day`, whose own faults and length are ignored. It blocks, so it
+/// Plays a case to its end, with the traffic of `scenario`, whose own faults and length are ignored. It blocks, so it
 /// must be called on a thread and not in a coroutine, and after [`crankpaddle_net::start`].
 ///
 /// # Errors
 /// A front, a simulated server or the list service could not be started, a file could not be written, or an action of the case
 /// could not be carried out.
-pub fn run(case: &Case, day: &Day, plan: &Plan) -> io::Result<Outcome> {
-    std::fs::create_dir_all(&plan.dir)?;
-    let backend = SimulatedBackend::start(day, plan.seed)?;
-    let mut cluster = ProcessCluster::new(case, day, plan, &backend)?;
+pub fn run(
+    case: &Case,
+    scenario: &Scenario,
+    options: &FleetCaseOptions,
+) -> io::Result<FleetCaseOutcome> {
+    std::fs::create_dir_all(&options.dir)?;
+    let backend = SimulatedBackend::start(scenario, options.seed)?;
+    let mut cluster = ProcessCluster::new(case, scenario, options, &backend)?;
     cluster.start(&case.first.of(cluster.processes.len()))?;
     let (players, membership_poll) = (cluster.players.clone(), cluster.membership_poll.clone());
-    let arrivals = Arrivals::start(day, &backend.config, plan.seed, &players, &membership_poll);
+    let arrivals = Arrivals::start(
+        scenario,
+        &backend.config,
+        options.seed,
+        &players,
+        &membership_poll,
+    );
     let played = play(case, &mut cluster).map_err(io::Error::other);
-    let mut faults = Vec::new();
-    faults.extend(arrivals.stop());
+    let mut failures = Vec::new();
+    failures.extend(arrivals.stop());
     let all: Vec<usize> = (0..cluster.processes.len()).collect();
     cluster.set_stopped(&all, false);
     players.leave();
     let deadline = clock::now() + PLAYERS_LEAVE_TIMEOUT;
-    faults.extend(wait_for_players(&players, deadline));
+    failures.extend(wait_for_players(&players, deadline));
     // The sessions of a killed front are never ended, so their streams stay.
     if !any_front_died(&backend.recorder) {
-        faults.extend(wait_for_streams(&backend.fleet));
+        failures.extend(wait_for_streams(&backend.fleet));
     }
-    faults.extend(membership_poll.missed());
+    failures.extend(membership_poll.missed());
     membership_poll.end();
-    faults.extend(cluster.end(&all)?);
+    failures.extend(cluster.end(&all)?);
     drop(cluster);
     let records = backend.recorder.all();
-    let verdict = judge(
+    let verdict = check_invariants(
         &Rules::of(&backend.config, DRAIN_GRACE, TIMING_TOLERANCE),
         &records,
     );
     let cost = Cost::of(&records);
-    Ok(Outcome {
+    Ok(FleetCaseOutcome {
         played: played?,
         verdict,
-        faults,
+        failures,
         records,
         cost,
     })
@@ -263,17 +273,17 @@
     /// Creates the network, players and hosts of a case. No front runs yet.
     fn new(
         case: &Case,
-        day: &Day,
-        plan: &'a Plan,
+        scenario: &Scenario,
+        options: &'a FleetCaseOptions,
         backend: &'a SimulatedBackend,
     ) -> io::Result<ProcessCluster<'a>> {
-        let fronts = plan.fronts as usize;
-        let network = PeerNetwork::start(fronts, plan.seed)?;
+        let fronts = options.fronts as usize;
+        let network = PeerNetwork::start(fronts, options.seed)?;
         let hosts = if case.needs_disks() {
             Some(SimulatedHosts::new(
-                &plan.dir,
-                plan.memory,
-                plan.seed,
+                &options.dir,
+                options.retention,
+                options.seed,
                 fronts,
             )?)
         } else {
@@ -282,17 +292,17 @@
         let membership_poll = MembershipPoll::start(fronts, &network);
         let behavior = PlayerBehavior {
             retries_with_same_key: hosts.is_some(),
-            ..habits(day)
+            ..player_behavior(scenario)
         };
         let players = PlayerPool::new(backend.recorder.clone(), behavior)
             .with_finder(front_finder(&membership_poll));
-        let key = if plan.peers {
-            Some(write_key(&plan.dir)?)
+        let key = if options.peers {
+            Some(write_key(&options.dir)?)
         } else {
             None
         };
         Ok(ProcessCluster {
-            plan,
+            options,
             backend,
             seeds: case.seeds.of(fronts),
             key,
--- a/crates/testbed/src/fleet/arrivals.rs
+++ b/crates/testbed/src/fleet/arrivals.rs
@@ -2,7 +2,7 @@
 use crate::membership_poll::MembershipPoll;
 use crate::player::PlayerPool;
 use crate::scenario_runner::{arrivals, Arrival};
-use crate::script::Day;
+use crate::script::Scenario;
 use crankpaddle_config::Config;
 use crankpaddle_net::{clock, spawn, Stack};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,17 +21,17 @@
 }
 
 impl Arrivals {
-    /// Draws the arrivals of the scenario `day` and starts the thread.
+    /// Draws the arrivals of `scenario` and starts the thread.
     pub(super) fn start(
-        day: &Day,
+        scenario: &Scenario,
         config: &Config,
         seed: u64,
         players: &Arc<PlayerPool>,
         membership_poll: &MembershipPoll,
     ) -> Arrivals {
-        let extended_scenario = Day {
+        let extended_scenario = Scenario {
             length: LONGEST_CASE,
-            ..day.clone()
+            ..scenario.clone()
         };
         let drawn = arrivals(&extended_scenario, config, seed);
         let over = Arc::new(AtomicBool::new(false));
--- a/crates/testbed/src/fleet/power.rs
+++ b/crates/testbed/src/fleet/power.rs
@@ -62,7 +62,7 @@
             hosts.power_off_servers(&self.backend.fleet, servers);
         }
         if list {
-            self.backend.list.set_gone(true);
+            self.backend.list.set_unavailable(true);
         }
         self.kill(fronts)
     }
@@ -72,7 +72,7 @@
             hosts.power_on_servers(&self.backend.fleet, &self.backend.list, servers)?;
         }
         if list {
-            self.backend.list.set_gone(false);
+            self.backend.list.set_unavailable(false);
         }
         self.start(fronts)
     }
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -22,18 +22,18 @@
         let zones = &self.backend.config.zones;
         let block = front_block(
             front as u32,
-            self.plan.fronts,
+            self.options.fronts,
             &zones[front % zones.len()],
             &self.backend.list.address.to_string(),
             &self.list_cache_path(front).to_string_lossy(),
         );
-        let probe_every = &self.plan.probe_every;
+        let probe_every = &self.options.probe_every;
         let peers = self.key.as_ref().map(|key| {
             self.network
                 .peers_block(front, &self.seeds, key, probe_every)
         });
         let store = self.hosts.as_ref().map(|hosts| hosts.store_block(front));
-        with_workers(&block, self.plan.workers)
+        with_workers(&block, self.options.workers)
             + &peers.unwrap_or_default()
             + &store.unwrap_or_default()
             + &self.backend.config_text
@@ -41,7 +41,7 @@
 
     /// Path of the front's cached endpoint list.
     fn list_cache_path(&self, front: usize) -> PathBuf {
-        self.plan.dir.join(format!("front-{front}.list"))
+        self.options.dir.join(format!("front-{front}.list"))
     }
 
     /// Starts those of these fronts that don't run, all at the same time.
@@ -72,10 +72,10 @@
     fn start_processes(&self, configs: &[FrontConfig]) -> Vec<(usize, io::Result<Process>)> {
         let start_one = |config: &FrontConfig| {
             let name = format!("front-{}", config.front);
-            let other = self.plan.other.as_ref();
+            let other = self.options.other.as_ref();
             let exe = other.filter(|_| self.uses_other_build[config.front]);
-            let exe = exe.unwrap_or(&self.plan.exe);
-            Process::start(exe, &self.plan.dir, &name, &config.text)
+            let exe = exe.unwrap_or(&self.options.exe);
+            Process::start(exe, &self.options.dir, &name, &config.text)
         };
         let start_one = &start_one;
         std::thread::scope(|scope| {
@@ -102,7 +102,7 @@
                 let died = Seen::Died {
                     front: front as u32,
                 };
-                self.backend.recorder.see(died);
+                self.backend.recorder.record(died);
                 process.signal(Signal::KILL);
                 self.membership_poll.set_address(front, None);
             }
@@ -143,11 +143,11 @@
             };
             // The recorded stall must cover the real one, so a stop is recorded before its signal and a resumption after it.
             if stopped {
-                self.backend.recorder.see(seen);
+                self.backend.recorder.record(seen);
                 process.signal(Signal::STOP);
             } else {
                 process.signal(Signal::CONT);
-                self.backend.recorder.see(seen);
+                self.backend.recorder.record(seen);
             }
             self.stopped[front] = stopped;
         }
--- a/crates/testbed/src/host_faults.rs
+++ b/crates/testbed/src/host_faults.rs
@@ -1,6 +1,6 @@
 //! Simulates power losses: the disks and boot identifiers of the fronts' hosts, and the restart of servers.
 use crate::list_service::{entry, ListService};
-use crate::server::Fleet;
+use crate::server::SimulatedFleet;
 use crate::udp_proxy::write_key;
 use crankpaddle_config::Config;
 use crankpaddle_fault_simulation::DiskState;
@@ -19,7 +19,7 @@
 
 /// What fronts persist over a power loss. It has no effect on cases without power losses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Memory {
+pub enum Retention {
     /// Fronts persist set-ups in progress, reconcile them with the servers after the power loss, and recover service in stages.
     Preserved,
     /// Fronts persist nothing and use the endpoint list as it is.
@@ -32,7 +32,7 @@
 pub(crate) struct SimulatedHosts {
     dir: PathBuf,
     key: PathBuf,
-    memory: Memory,
+    retention: Retention,
     seed: u64,
     /// Number of restarts of each front's host.
     boots: Vec<u32>,
@@ -43,14 +43,14 @@
 impl SimulatedHosts {
     pub(crate) fn new(
         dir: &Path,
-        memory: Memory,
+        retention: Retention,
         seed: u64,
         fronts: usize,
     ) -> io::Result<SimulatedHosts> {
         let hosts = SimulatedHosts {
             dir: dir.to_owned(),
             key: write_key(dir)?,
-            memory,
+            retention,
             seed,
             boots: vec![0; fronts],
             restarted_servers: 0,
@@ -88,10 +88,10 @@
 
     /// The block of a front's configuration about its store; empty where the front persists nothing.
     pub(crate) fn store_block(&self, front: usize) -> String {
-        let stage_settings = match self.memory {
-            Memory::Forgotten => return String::new(),
-            Memory::Preserved => "",
-            Memory::Trusted => "settle: \"1us\" calm: \"1us\" paid_first: \"1us\"",
+        let stage_settings = match self.retention {
+            Retention::Forgotten => return String::new(),
+            Retention::Preserved => "",
+            Retention::Trusted => "settle: \"1us\" calm: \"1us\" paid_first: \"1us\"",
         };
         let dir = self.store(front);
         let key = &self.key;
@@ -111,7 +111,7 @@
     }
 
     /// Crashes these servers for a power loss.
-    pub(crate) fn power_off_servers(&mut self, fleet: &Fleet, servers: &[usize]) {
+    pub(crate) fn power_off_servers(&mut self, fleet: &SimulatedFleet, servers: &[usize]) {
         for server in servers {
             fleet.crash(*server as u32);
         }
@@ -121,7 +121,7 @@
     /// Restarts these servers in slow start. The list service sends them to fronts after its delay.
     pub(crate) fn power_on_servers(
         &self,
-        fleet: &Arc<Fleet>,
+        fleet: &Arc<SimulatedFleet>,
         list: &ListService,
         servers: &[usize],
     ) -> io::Result<()> {
--- a/crates/testbed/src/import/mod.rs
+++ b/crates/testbed/src/import/mod.rs
@@ -24,7 +24,7 @@
 
 /// How a day is scaled to one machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Fit {
+pub struct ImportScale {
     /// Factor of all media rates and bandwidths.
     pub rates: f64,
     /// Maximum number of servers. The rate of new sessions is reduced in proportion where the day has more.
@@ -54,7 +54,12 @@
 ///
 /// # Errors
 /// The text is not a day file, or lacks a part that a script needs.
-pub fn import(json: &str, name: &str, fleet_name: &str, fit: Fit) -> Result<Imported, ImportError> {
+pub fn import(
+    json: &str,
+    name: &str,
+    fleet_name: &str,
+    scale: ImportScale,
+) -> Result<Imported, ImportError> {
     let day: DayFile = serde_json::from_str(json)?;
     let tier = day.tiers.first().ok_or(ImportError::NoTier)?;
     let machine = tier.kinds.first().ok_or(ImportError::NoMachine)?;
@@ -63,19 +68,19 @@
     if server_count == 0 || day.balancers.is_empty() || !each_class_has_terms {
         return Err(ImportError::Incomplete);
     }
-    let servers = server_count.min(fit.servers.max(1));
-    let fronts = (day.balancers.len() as u32).min(fit.fronts.max(1));
+    let servers = server_count.min(scale.servers.max(1));
+    let fronts = (day.balancers.len() as u32).min(scale.fronts.max(1));
     let fleet = FleetPlan {
         day: &day,
         tier,
         machine,
         cells: day.family.cells.min(servers),
         servers,
-        rate_factor: fit.rates,
+        rate_factor: scale.rates,
     };
     let mut text = format!(
         "# From the bench's day: {}, {}. Rates are {} of its own.\n",
-        day.site, day.kind, fit.rates
+        day.site, day.kind, scale.rates
     );
     let _ = writeln!(text, "name: {name:?}\nlength: \"{}ms\"", day.length / 1000);
     let _ = writeln!(text, "fronts: {fronts}\nfleet: {fleet_name:?}");
--- a/crates/testbed/src/import/tests.rs
+++ b/crates/testbed/src/import/tests.rs
@@ -24,13 +24,13 @@
     )
 }
 
-fn import_and_parse(json: &str) -> (Imported, script::Day) {
-    let fit = Fit {
+fn import_and_parse(json: &str) -> (Imported, script::Scenario) {
+    let scale = ImportScale {
         rates: 0.1,
         servers: 6,
         fronts: 3,
     };
-    let imported = import(json, "x", "x-fleet", fit).unwrap();
+    let imported = import(json, "x", "x-fleet", scale).unwrap();
     let day = script::parse(&imported.day, |_| {
         Ok::<_, std::convert::Infallible>(imported.fleet.clone())
     });
@@ -41,25 +41,25 @@
 
 #[test]
 fn every_fault_kind_that_scripts_have_is_imported() {
-    use script::Kind;
+    use script::FaultKind;
     use std::time::Duration;
     for (kind, size, extra, expected) in [
-        ("hang", 0.0, 0.0, Kind::Hang),
-        ("vanish", 0.0, 0.0, Kind::Vanish),
-        ("crash", 0.0, 0.0, Kind::Crash),
-        ("fast_errors", 0.5, 0.0, Kind::FastErrors(0.5)),
-        ("shared_slow", 1.5, 0.0, Kind::Slow(1.5)),
-        ("burst", 2.0, 3.0, Kind::Burst(2.0)),
-        ("hot_key", 0.2, 1.0, Kind::LoadSurge(0, 0.2)),
+        ("hang", 0.0, 0.0, FaultKind::Hang),
+        ("vanish", 0.0, 0.0, FaultKind::Vanish),
+        ("crash", 0.0, 0.0, FaultKind::Crash),
+        ("fast_errors", 0.5, 0.0, FaultKind::FastErrors(0.5)),
+        ("shared_slow", 1.5, 0.0, FaultKind::Slow(1.5)),
+        ("burst", 2.0, 3.0, FaultKind::Burst(2.0)),
+        ("hot_key", 0.2, 1.0, FaultKind::LoadSurge(0, 0.2)),
         (
             "discovery_stale",
             3.0,
             0.0,
-            Kind::ListLate(Duration::from_nanos(3_000_000_000)),
+            FaultKind::ListLate(Duration::from_nanos(3_000_000_000)),
         ),
-        ("zone_loss", 0.6, 0.7, Kind::Vanish),
-        ("deploy", 0.1, 4.0, Kind::Drain),
-        ("balancer_stall", 1500.0, 3.0, Kind::Stall(vec![1, 2])),
+        ("zone_loss", 0.6, 0.7, FaultKind::Vanish),
+        ("deploy", 0.1, 4.0, FaultKind::Drain),
+        ("balancer_stall", 1500.0, 3.0, FaultKind::Stall(vec![1, 2])),
     ] {
         let (imported, day) = import_and_parse(&sample(&fault(kind, size, extra)));
         assert!(imported.left_out.is_empty(), "{kind}");
@@ -90,7 +90,7 @@
         "{}",
         "x",
         "y",
-        Fit {
+        ImportScale {
             rates: 1.0,
             servers: 1,
             fronts: 1
--- a/crates/testbed/src/invariant_checker/mod.rs
+++ b/crates/testbed/src/invariant_checker/mod.rs
@@ -24,7 +24,7 @@
 
 /// Checks all rules. The records must be sorted by time.
 #[must_use]
-pub fn judge(rules: &Rules, records: &[Record]) -> Verdict {
+pub fn check_invariants(rules: &Rules, records: &[Record]) -> Verdict {
     let mut verdict = Verdict::default();
     let evidence = Evidence::collect(rules, records, &mut verdict);
     single_answer::check(&evidence, &mut verdict);
--- a/crates/testbed/src/list_service.rs
+++ b/crates/testbed/src/list_service.rs
@@ -1,6 +1,6 @@
 //! A simulated list service. It has the list of the running servers and sends changes to every front with a delay.
 use crate::record::{Recorder, Seen};
-use crate::server::Fleet;
+use crate::server::SimulatedFleet;
 use crankpaddle_config::Config;
 use crankpaddle_front::EndpointListKind;
 use crankpaddle_http::sse;
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// The service can't listen on a port.
-    pub fn start_for(fleet: &Fleet, delay: Duration) -> io::Result<Arc<ListService>> {
+    pub fn start_for(fleet: &SimulatedFleet, delay: Duration) -> io::Result<Arc<ListService>> {
         let servers = fleet.servers.iter();
         let entries = servers
             .map(|server| {
@@ -146,7 +146,7 @@
 
     /// Makes the service unreachable or reachable again. While it is unreachable, it answers no requests and its streams are
     /// closed.
-    pub fn set_gone(&self, gone: bool) {
+    pub fn set_unavailable(&self, gone: bool) {
         self.gone.store(gone, Ordering::Release);
         if !gone {
             return;
@@ -207,7 +207,7 @@
 
     fn record_listed(&self, front: &str, entry: &EndpointEntry) {
         let ready = entry.state == EndpointState::Ready;
-        self.recorder.see(Seen::Listed {
+        self.recorder.record(Seen::Listed {
             front: front.to_owned(),
             server: entry.id,
             ready,
--- a/crates/testbed/src/player/attempt.rs
+++ b/crates/testbed/src/player/attempt.rs
@@ -1,5 +1,5 @@
 //! One attempt of a player to watch a title, from the open request to its result.
-use super::{Client, FrontAddress, PlayerPool, Visit};
+use super::{FrontAddress, PlayerClient, PlayerPool, Visit};
 use crate::record::{PlayerReply, Seen};
 use crankpaddle_net::{clock, sleep};
 use crankpaddle_server_protocol::sessions::billing_key;
@@ -62,7 +62,7 @@
 impl PlayerPool {
     /// Makes an attempt. Some players disconnect before the answer and reconnect with the same key.
     pub(super) fn attempt(&self, attempt: &Attempt<'_>, rng: &mut StdRng) -> AttemptResult {
-        let Ok(mut client) = Client::connect(&attempt.front.address, &self.sweeper) else {
+        let Ok(mut client) = PlayerClient::connect(&attempt.front.address, &self.sweeper) else {
             self.failed_connects.fetch_add(1, Ordering::AcqRel);
             return if self.behavior.retries_with_same_key {
                 AttemptResult::FrontLost
@@ -85,16 +85,16 @@
         match answer {
             Some(event) => self.on_answer(event, client, attempt),
             None if self.behavior.retries_with_same_key && disconnected => {
-                self.recorder.see(Seen::Disconnected { call });
+                self.recorder.record(Seen::Disconnected { call });
                 AttemptResult::FrontLost
             }
             None => AttemptResult::DoesNotReturn,
         }
     }
 
-    fn send_open(&self, client: &mut Client, attempt: &Attempt<'_>, deadline: Time) -> u64 {
+    fn send_open(&self, client: &mut PlayerClient, attempt: &Attempt<'_>, deadline: Time) -> u64 {
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
-        self.recorder.see(Seen::OpenSent {
+        self.recorder.record(Seen::OpenSent {
             call,
             front: attempt.front.number,
             bill: billing_key(&attempt.key),
@@ -113,24 +113,24 @@
     /// again.
     fn reconnect(
         &self,
-        mut client: Client,
+        mut client: PlayerClient,
         call: u64,
         attempt: &Attempt<'_>,
-    ) -> Result<Client, AttemptResult> {
+    ) -> Result<PlayerClient, AttemptResult> {
         client.disconnect();
         match self.drain_answer(&mut client, call) {
-            Some(PlayerReply::Plays) | None => self.recorder.see(Seen::Disconnected { call }),
+            Some(PlayerReply::Plays) | None => self.recorder.record(Seen::Disconnected { call }),
             Some(_) => return Err(AttemptResult::DoesNotReturn),
         }
-        Client::connect(&attempt.front.address, &self.sweeper)
+        PlayerClient::connect(&attempt.front.address, &self.sweeper)
             .map_err(|_| AttemptResult::MayReturn { retry_after: None })
     }
 
     /// The answer to a call that was received before the connection was closed; `None` where there was none.
-    fn drain_answer(&self, client: &mut Client, call: u64) -> Option<PlayerReply> {
+    fn drain_answer(&self, client: &mut PlayerClient, call: u64) -> Option<PlayerReply> {
         while let Ok(Some(event)) = client.poll() {
             if let Some(reply) = reply_of(&event, call) {
-                self.recorder.see(Seen::CallAnswered { call, reply });
+                self.recorder.record(Seen::CallAnswered { call, reply });
                 return Some(reply);
             }
         }
@@ -141,13 +141,13 @@
     /// the invariant checker reports that it is missing.
     fn wait_for_answer(
         &self,
-        client: &mut Client,
+        client: &mut PlayerClient,
         call: u64,
         deadline: Time,
     ) -> Option<ClientEvent> {
         while let Ok(event) = client.next(deadline + LATE_ANSWER_WINDOW) {
             if let Some(reply) = reply_of(&event, call) {
-                self.recorder.see(Seen::CallAnswered { call, reply });
+                self.recorder.record(Seen::CallAnswered { call, reply });
                 return Some(event);
             }
         }
@@ -157,7 +157,7 @@
     fn on_answer(
         &self,
         event: ClientEvent,
-        client: Client,
+        client: PlayerClient,
         attempt: &Attempt<'_>,
     ) -> AttemptResult {
         match event {
@@ -185,7 +185,7 @@
 
     fn watch_session(
         &self,
-        client: Client,
+        client: PlayerClient,
         session: &str,
         media: &str,
         attempt: &Attempt<'_>,
--- a/crates/testbed/src/player/client.rs
+++ b/crates/testbed/src/player/client.rs
@@ -22,7 +22,7 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A WebSocket connection to a front, which speaks the session API.
-pub struct Client {
+pub struct PlayerClient {
     outbox: WriteBuffer,
     context: WebSocketContext,
     /// Messages that were read but not returned yet.
@@ -56,12 +56,12 @@
     }
 }
 
-impl Client {
+impl PlayerClient {
     /// Connects to a front and does the WebSocket handshake. `sweeper` closes the connection at its timeouts.
     ///
     /// # Errors
     /// The front can't be reached or refuses the handshake.
-    pub fn connect(address: &SocketAddr, sweeper: &IdleSweeper) -> io::Result<Client> {
+    pub fn connect(address: &SocketAddr, sweeper: &IdleSweeper) -> io::Result<PlayerClient> {
         let socket = Arc::new(Socket::connect(address, CONNECT_TIMEOUT)?);
         socket.set_expiry(clock::now() + CONNECT_TIMEOUT);
         sweeper.watch(&socket);
@@ -102,7 +102,7 @@
             Role::Client,
             Some(config),
         );
-        Ok(Client {
+        Ok(PlayerClient {
             outbox: WriteBuffer::new(socket, SEND_BUFFER),
             context,
             ready: VecDeque::new(),
--- a/crates/testbed/src/player/mod.rs
+++ b/crates/testbed/src/player/mod.rs
@@ -12,7 +12,7 @@
 use crate::loss_analysis::Losses;
 use crate::record::Recorder;
 use attempt::{Attempt, AttemptResult};
-pub use client::Client;
+pub use client::PlayerClient;
 use crankpaddle_net::{clock, sleep, IdleSweeper};
 use crankpaddle_time::{nanoseconds, Time};
 use rand::rngs::StdRng;
@@ -156,7 +156,7 @@
         self.failed_connects.load(Ordering::Acquire)
     }
 
-    /// The sweeper that closes the players' connections at their timeout. A caller that makes a [`Client`] needs it.
+    /// The sweeper that closes the players' connections at their timeout. A caller that makes a [`PlayerClient`] needs it.
     pub fn sweeper(&self) -> &IdleSweeper {
         &self.sweeper
     }
--- a/crates/testbed/src/player/watch.rs
+++ b/crates/testbed/src/player/watch.rs
@@ -1,6 +1,6 @@
 //! Watches a session: fetches its segments until the time to watch is over or the session ends.
 use super::attempt::AttemptResult;
-use super::{Client, PlayerPool, CONNECT_TIMEOUT};
+use super::{PlayerClient, PlayerPool, CONNECT_TIMEOUT};
 use crate::record::Seen;
 use crankpaddle_http::head;
 use crankpaddle_net::exchange::HttpExchange;
@@ -71,7 +71,7 @@
     /// Watches a session for `time`, or until it ends or the players leave.
     pub(super) fn watch(
         &self,
-        mut client: Client,
+        mut client: PlayerClient,
         session: &str,
         media: &str,
         time: Duration,
@@ -96,21 +96,21 @@
             let received = receive(&mut client);
             if received.disconnected && self.behavior.retries_with_same_key && clock::now() < until
             {
-                self.recorder.see(Seen::Fetched { name, bytes });
+                self.recorder.record(Seen::Fetched { name, bytes });
                 return AttemptResult::FrontLost;
             }
             if let Some(SessionOver { retry_after }) = received.session_over {
-                self.recorder.see(Seen::Fetched { name, bytes });
+                self.recorder.record(Seen::Fetched { name, bytes });
                 client.close();
                 return AttemptResult::MayReturn { retry_after };
             }
         }
-        self.recorder.see(Seen::Fetched { name, bytes });
+        self.recorder.record(Seen::Fetched { name, bytes });
         self.close_session(client, session);
         AttemptResult::Watched
     }
 
-    fn close_session(&self, mut client: Client, session: &str) {
+    fn close_session(&self, mut client: PlayerClient, session: &str) {
         let call = self.next_call.fetch_add(1, Ordering::Relaxed);
         let _ = client.send(client::close(call, session)); // If the front has died, its session is over anyway.
         let deadline = clock::now() + CLOSE_TIMEOUT;
@@ -125,7 +125,7 @@
 }
 
 /// Reads all messages that the front has sent so far.
-fn receive(client: &mut Client) -> Received {
+fn receive(client: &mut PlayerClient) -> Received {
     let mut received = Received {
         session_over: None,
         disconnected: false,
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -202,7 +202,7 @@
 
 impl Recorder {
     /// Records an event with the current time.
-    pub fn see(&self, seen: Seen) {
+    pub fn record(&self, seen: Seen) {
         let mut records = self.lock();
         let at = clock::now();
         records.push(Record { at, seen });
--- a/crates/testbed/src/scenario_runner/arrivals.rs
+++ b/crates/testbed/src/scenario_runner/arrivals.rs
@@ -1,6 +1,6 @@
 //! Arrivals of players. All are drawn before the run, so the load is open: it does not depend on how fast fronts answer.
 use crate::player::{Visit, VisitClass};
-use crate::script::{Day, Kind};
+use crate::script::{FaultKind, Scenario};
 use crankpaddle_config::Config;
 use crankpaddle_time::nanoseconds;
 use rand::rngs::StdRng;
@@ -26,17 +26,17 @@
 /// # Panics
 /// The configuration has no titles, or fewer classes than the scenario.
 #[must_use]
-pub fn arrivals(day: &Day, config: &Config, seed: u64) -> Vec<Arrival> {
-    let mut generator = ArrivalGenerator::new(day, config, seed);
+pub fn arrivals(scenario: &Scenario, config: &Config, seed: u64) -> Vec<Arrival> {
+    let mut generator = ArrivalGenerator::new(scenario, config, seed);
     let mut all = Vec::new();
     let mut seconds = 0.0;
     loop {
         seconds += generator.exponential(1.0 / generator.peak_rate);
-        if seconds >= day.seconds() {
+        if seconds >= scenario.seconds() {
             return all;
         }
         let at = Duration::from_nanos((seconds * NANOSECONDS_PER_SECOND) as u64);
-        let keep_probability = (day.rate_at(at) / generator.peak_rate).min(1.0);
+        let keep_probability = (scenario.rate_at(at) / generator.peak_rate).min(1.0);
         // A Poisson process with a varying rate is drawn at the peak rate, then thinned.
         if generator.rng.random_bool(keep_probability) {
             let visit = generator.visit(at);
@@ -47,7 +47,7 @@
 
 /// Draws arrivals and what the players do.
 struct ArrivalGenerator<'a> {
-    day: &'a Day,
+    scenario: &'a Scenario,
     config: &'a Config,
     rng: StdRng,
     /// Titles by popularity, the most popular first.
@@ -58,23 +58,23 @@
 }
 
 impl<'a> ArrivalGenerator<'a> {
-    fn new(day: &'a Day, config: &'a Config, seed: u64) -> ArrivalGenerator<'a> {
+    fn new(scenario: &'a Scenario, config: &'a Config, seed: u64) -> ArrivalGenerator<'a> {
         let mut titles: Vec<&String> = config.titles.keys().collect();
         titles.sort();
         let title_weights = (1..=titles.len())
-            .map(|rank| (rank as f64).powf(-day.zipf_exponent))
+            .map(|rank| (rank as f64).powf(-scenario.zipf_exponent))
             .collect();
-        let burst_factors = day.faults.iter().map(|fault| match fault.kind {
-            Kind::Burst(times) => times.max(1.0),
+        let burst_factors = scenario.faults.iter().map(|fault| match fault.kind {
+            FaultKind::Burst(times) => times.max(1.0),
             _ => 1.0,
         });
         ArrivalGenerator {
-            day,
+            scenario,
             config,
             rng: StdRng::seed_from_u64(seed),
             titles,
             title_weights,
-            peak_rate: day.rate * burst_factors.product::<f64>(),
+            peak_rate: scenario.rate * burst_factors.product::<f64>(),
         }
     }
 
@@ -86,11 +86,11 @@
     /// Draws a visit. A different order of the draws would change the visits of every seed.
     fn visit(&mut self, at: Duration) -> Visit {
         let title = self.title(at);
-        let class = pick(&mut self.rng, &self.day.class_shares).unwrap_or(0);
+        let class = pick(&mut self.rng, &self.scenario.class_shares).unwrap_or(0);
         let rungs = self.config.settings.rung_kb.len() as u8;
         let small_screen = self.rng.random_bool(SMALL_SCREEN_FRACTION);
         let seed = self.rng.random();
-        let mean_watch = self.day.mean_watch_time;
+        let mean_watch = self.scenario.mean_watch_time;
         let watch = self.exponential(nanoseconds(mean_watch) as f64) as u64;
         Visit {
             seed,
@@ -109,7 +109,7 @@
     /// Draws the number of a title. During a load surge its fraction of the players gets its title; the other players choose
     /// by popularity.
     fn title(&mut self, at: Duration) -> usize {
-        if let Some((title, fraction)) = self.day.load_surge_at(at) {
+        if let Some((title, fraction)) = self.scenario.load_surge_at(at) {
             if self.rng.random_bool(fraction) {
                 return title % self.titles.len();
             }
--- a/crates/testbed/src/scenario_runner/faults.rs
+++ b/crates/testbed/src/scenario_runner/faults.rs
@@ -3,7 +3,7 @@
 use crate::fault_mode::ResponseFault;
 use crate::list_service::entry;
 use crate::record::Seen;
-use crate::script::{Kind, ScheduledFault};
+use crate::script::{FaultKind, ScheduledFault};
 use crate::stage::SimulatedBackend;
 use crankpaddle_net::clock;
 use crankpaddle_server_protocol::list::EndpointState;
@@ -31,12 +31,12 @@
             self.begin_at_server(&fault.kind, server);
         }
         match &fault.kind {
-            Kind::Slow(divisor) => self.fleet.set_slow(*divisor),
-            Kind::ListLate(extra_delay) => self.list.set_delay(self.list_delay + *extra_delay),
-            Kind::ListGone => self.list.set_gone(true),
-            Kind::Stall(numbers) => {
+            FaultKind::Slow(divisor) => self.fleet.set_slow(*divisor),
+            FaultKind::ListLate(extra_delay) => self.list.set_delay(self.list_delay + *extra_delay),
+            FaultKind::ListGone => self.list.set_unavailable(true),
+            FaultKind::Stall(numbers) => {
                 for &front in numbers {
-                    self.recorder.see(Seen::Stalled {
+                    self.recorder.record(Seen::Stalled {
                         front,
                         stopped: true,
                     });
@@ -47,27 +47,29 @@
         }
     }
 
-    fn begin_at_server(&self, kind: &Kind, server: u32) {
+    fn begin_at_server(&self, kind: &FaultKind, server: u32) {
         let fleet = &self.fleet;
         match *kind {
-            Kind::Hang => fleet.set_mode(server, |mode| mode.hangs = true),
-            Kind::FastErrors(fraction) => fleet.set_mode(server, |mode| mode.errors = fraction),
-            Kind::BillAndReset(fraction) => {
-                fleet.set_mode(server, |mode| mode.bills_and_resets = fraction);
+            FaultKind::Hang => fleet.set_faults(server, |faults| faults.hangs = true),
+            FaultKind::FastErrors(fraction) => {
+                fleet.set_faults(server, |faults| faults.errors = fraction);
             }
-            Kind::Trickle => fleet.set_mode(server, |mode| mode.trickles = true),
-            Kind::ResponseFault(response_fault) => {
-                fleet.set_mode(server, |mode| mode.response_fault = response_fault);
+            FaultKind::BillAndReset(fraction) => {
+                fleet.set_faults(server, |faults| faults.bills_and_resets = fraction);
             }
-            Kind::Vanish => {
-                fleet.set_mode(server, |mode| mode.vanished = true);
+            FaultKind::Trickle => fleet.set_faults(server, |faults| faults.trickles = true),
+            FaultKind::ResponseFault(response_fault) => {
+                fleet.set_faults(server, |faults| faults.response_fault = response_fault);
+            }
+            FaultKind::Vanish => {
+                fleet.set_faults(server, |faults| faults.vanished = true);
                 self.change_listing(server, EndpointState::Gone);
             }
-            Kind::Crash => {
+            FaultKind::Crash => {
                 fleet.crash(server);
                 self.change_listing(server, EndpointState::Gone);
             }
-            Kind::Drain => self.change_listing(server, EndpointState::Draining),
+            FaultKind::Drain => self.change_listing(server, EndpointState::Draining),
             _ => {}
         }
     }
@@ -78,13 +80,13 @@
             self.end_at_server(&fault.kind, server)?;
         }
         match &fault.kind {
-            Kind::Slow(_) => self.fleet.set_slow(1.0),
-            Kind::ListLate(_) => self.list.set_delay(self.list_delay),
-            Kind::ListGone => self.list.set_gone(false),
-            Kind::Stall(numbers) => {
+            FaultKind::Slow(_) => self.fleet.set_slow(1.0),
+            FaultKind::ListLate(_) => self.list.set_delay(self.list_delay),
+            FaultKind::ListGone => self.list.set_unavailable(false),
+            FaultKind::Stall(numbers) => {
                 for &front in numbers {
                     fronts[front as usize].process.signal(Signal::CONT);
-                    self.recorder.see(Seen::Stalled {
+                    self.recorder.record(Seen::Stalled {
                         front,
                         stopped: false,
                     });
@@ -95,20 +97,22 @@
         Ok(())
     }
 
-    fn end_at_server(&self, kind: &Kind, server: u32) -> io::Result<()> {
+    fn end_at_server(&self, kind: &FaultKind, server: u32) -> io::Result<()> {
         let fleet = &self.fleet;
         match kind {
-            Kind::Hang => fleet.set_mode(server, |mode| mode.hangs = false),
-            Kind::FastErrors(_) => fleet.set_mode(server, |mode| mode.errors = 0.0),
-            Kind::BillAndReset(_) => fleet.set_mode(server, |mode| mode.bills_and_resets = 0.0),
-            Kind::Trickle => fleet.set_mode(server, |mode| mode.trickles = false),
-            Kind::ResponseFault(_) => {
-                fleet.set_mode(server, |mode| {
-                    mode.response_fault = ResponseFault::default();
+            FaultKind::Hang => fleet.set_faults(server, |faults| faults.hangs = false),
+            FaultKind::FastErrors(_) => fleet.set_faults(server, |faults| faults.errors = 0.0),
+            FaultKind::BillAndReset(_) => {
+                fleet.set_faults(server, |faults| faults.bills_and_resets = 0.0);
+            }
+            FaultKind::Trickle => fleet.set_faults(server, |faults| faults.trickles = false),
+            FaultKind::ResponseFault(_) => {
+                fleet.set_faults(server, |faults| {
+                    faults.response_fault = ResponseFault::default();
                 });
             }
-            Kind::Vanish | Kind::Crash => self.restart_server(server)?,
-            Kind::Drain => {
+            FaultKind::Vanish | FaultKind::Crash => self.restart_server(server)?,
+            FaultKind::Drain => {
                 fleet.end_sessions(server, false);
                 self.restart_server(server)?;
             }
--- a/crates/testbed/src/scenario_runner/mod.rs
+++ b/crates/testbed/src/scenario_runner/mod.rs
@@ -11,13 +11,13 @@
 mod recording;
 mod timeline;
 
-use crate::crossing::{crossed, CrossZoneTraffic, FlowKey};
-use crate::invariant_checker::{judge, Rules, Verdict};
+use crate::crossing::{cross_zone_traffic, CrossZoneTraffic, FlowKey};
+use crate::invariant_checker::{check_invariants, Rules, Verdict};
 use crate::membership_poll::MembershipPoll;
 use crate::player::PlayerBehavior;
 use crate::process::end_all;
 use crate::record::{Record, Seen};
-use crate::script::Day;
+use crate::script::Scenario;
 pub use crate::stage::layout;
 use crate::stage::SimulatedBackend;
 use crate::udp_proxy::{write_key, PeerNetwork};
@@ -51,7 +51,7 @@
 
 /// How a scenario is played.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct ScenarioOptions {
     /// The program that runs a front; it is called as `EXE front -c FILE`.
     pub exe: PathBuf,
     /// Seed of all random draws.
@@ -66,30 +66,30 @@
 
 /// The results of a scenario.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct ScenarioOutcome {
     /// The result of the invariant checker.
     pub verdict: Verdict,
     /// All records, sorted by time.
     pub records: Vec<Record>,
     /// Descriptions of what went wrong outside the rules: fronts that ended with an error, streams left at servers, byte counts
     /// that differ.
-    pub faults: Vec<String>,
+    pub failures: Vec<String>,
     /// Media bytes as servers and players counted them.
     pub bytes: ByteCounts,
     /// Cross-zone traffic and utility according to the servers' records.
-    pub crossed: CrossZoneTraffic,
+    pub cross_zone_traffic: CrossZoneTraffic,
     /// The traffic reports of all fronts, merged into one.
     pub reported: TrafficReport,
     /// When arrivals began, on the clock of the records.
     pub start: Time,
 }
 
-impl Outcome {
+impl ScenarioOutcome {
     /// Media bytes of each flow, as the servers recorded and as the fronts reported them.
     #[must_use]
     pub fn flows(&self) -> BTreeMap<FlowKey, FlowBytes> {
         let mut all: BTreeMap<FlowKey, FlowBytes> = BTreeMap::new();
-        for (key, bytes) in &self.crossed.bytes {
+        for (key, bytes) in &self.cross_zone_traffic.bytes {
             all.entry(key.clone()).or_default().sent += bytes;
         }
         for flow in &self.reported.flows {
@@ -105,19 +105,19 @@
 
     /// Whether all rules were kept and nothing else went wrong.
     #[must_use]
-    pub fn good(&self) -> bool {
-        self.verdict.breaches.is_empty() && self.faults.is_empty()
+    pub fn succeeded(&self) -> bool {
+        self.verdict.breaches.is_empty() && self.failures.is_empty()
     }
 }
 
 /// The behaviour of a scenario's players.
 #[must_use]
-pub fn habits(day: &Day) -> PlayerBehavior {
+pub fn player_behavior(scenario: &Scenario) -> PlayerBehavior {
     PlayerBehavior {
-        return_fraction: day.return_fraction,
-        mean_return_delay: day.mean_return_delay,
-        retry_after_fraction: day.retry_after_fraction,
-        reconnect_fraction: day.reconnect_fraction,
+        return_fraction: scenario.return_fraction,
+        mean_return_delay: scenario.mean_return_delay,
+        retry_after_fraction: scenario.retry_after_fraction,
+        reconnect_fraction: scenario.reconnect_fraction,
         retries_with_same_key: false,
     }
 }
@@ -127,38 +127,38 @@
 ///
 /// # Errors
 /// A front, a simulated server or the list service could not be started, or a file could not be written.
-pub fn play(day: &Day, play: &Play) -> io::Result<Outcome> {
-    std::fs::create_dir_all(&play.dir)?;
-    let backend = SimulatedBackend::start(day, play.seed)?;
+pub fn play(scenario: &Scenario, options: &ScenarioOptions) -> io::Result<ScenarioOutcome> {
+    std::fs::create_dir_all(&options.dir)?;
+    let backend = SimulatedBackend::start(scenario, options.seed)?;
     let config = &backend.config;
-    let peering = Peering::start(day, play)?;
-    let mut fronts = start_fronts(day, play, &backend, peering.as_ref())?;
+    let peering = Peering::start(scenario, options)?;
+    let mut fronts = start_fronts(scenario, options, &backend, peering.as_ref())?;
     let start = clock::now();
-    let run_result = timeline::run(day, play, &backend, &fronts);
+    let run_result = timeline::run(scenario, options, &backend, &fronts);
     let addresses = fronts.iter().map(|front| &front.process.address);
     let reported = merge(addresses.filter_map(settled_report));
     if let Some(peering) = &peering {
         peering.membership_poll.end();
     }
     // The fronts are ended before the result of the run is checked, so that an error leaves no front running.
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     let end_timeout = config.limits.drain_timeout + PROCESS_END_GRACE;
-    faults.extend(end_all(
+    failures.extend(end_all(
         fronts.iter_mut().map(|front| &mut front.process),
         end_timeout,
     )?);
-    faults.extend(run_result?);
+    failures.extend(run_result?);
     let records = backend.recorder.all();
     let bytes = count_bytes(&records);
-    faults.extend(bytes.difference(day));
-    let verdict = judge(&Rules::of(config, DRAIN_GRACE, TIMING_TOLERANCE), &records);
-    let crossed = crossed(&records, config);
-    Ok(Outcome {
+    failures.extend(bytes.difference(scenario));
+    let verdict = check_invariants(&Rules::of(config, DRAIN_GRACE, TIMING_TOLERANCE), &records);
+    let cross_zone_traffic = cross_zone_traffic(&records, config);
+    Ok(ScenarioOutcome {
         verdict,
         records,
-        faults,
+        failures,
         bytes,
-        crossed,
+        cross_zone_traffic,
         reported,
         start,
     })
@@ -173,13 +173,13 @@
 
 impl Peering {
     /// Starts the network. `None` where the fronts don't form a membership.
-    fn start(day: &Day, play: &Play) -> io::Result<Option<Peering>> {
-        if !play.peers {
+    fn start(scenario: &Scenario, options: &ScenarioOptions) -> io::Result<Option<Peering>> {
+        if !options.peers {
             return Ok(None);
         }
-        let fronts = day.fronts as usize;
-        let network = PeerNetwork::start(fronts, play.seed)?;
-        let key = write_key(&play.dir)?;
+        let fronts = scenario.fronts as usize;
+        let network = PeerNetwork::start(fronts, options.seed)?;
+        let key = write_key(&options.dir)?;
         let membership_poll = MembershipPoll::start(fronts, &network);
         Ok(Some(Peering {
             network,
@@ -196,18 +196,18 @@
 }
 
 fn start_fronts(
-    day: &Day,
-    play: &Play,
+    scenario: &Scenario,
+    options: &ScenarioOptions,
     backend: &SimulatedBackend,
     peering: Option<&Peering>,
 ) -> io::Result<Vec<FrontProcess>> {
     let mut fronts = Vec::new();
-    for index in 0..day.fronts {
+    for index in 0..scenario.fronts {
         let number = index as usize;
         let peers = peering
             .map(|peering| peering.block(number))
             .unwrap_or_default();
-        let front = FrontProcess::start(play, index, day, backend, &peers)?;
+        let front = FrontProcess::start(options, index, scenario, backend, &peers)?;
         if let Some(peering) = peering {
             peering
                 .membership_poll
@@ -275,12 +275,12 @@
 
 impl ByteCounts {
     /// A description of the fault where the two counts differ by more than what can be in transit; otherwise `None`.
-    fn difference(&self, day: &Day) -> Option<String> {
+    fn difference(&self, scenario: &Scenario) -> Option<String> {
         let (sent, read) = (self.sent, self.read);
         let mean_bytes = read.checked_div(self.watched_sessions).unwrap_or(0);
         // The counts of a session that breaks off differ by a segment at most.
-        let segment = nanoseconds(day.segment_length).max(1);
-        let watch_time = nanoseconds(day.mean_watch_time).max(1);
+        let segment = nanoseconds(scenario.segment_length).max(1);
+        let watch_time = nanoseconds(scenario.mean_watch_time).max(1);
         let allowed = sent / 50 + mean_bytes * segment / watch_time * 10;
         (sent.abs_diff(read) > allowed + BYTE_TOLERANCE)
             .then(|| format!("servers sent {sent} media bytes and players read {read}"))
--- a/crates/testbed/src/scenario_runner/timeline.rs
+++ b/crates/testbed/src/scenario_runner/timeline.rs
@@ -1,8 +1,8 @@
 //! Runs a scenario: starts its faults and players at their times, then waits for the end of the players and streams.
 use super::front::FrontProcess;
-use super::{arrivals, habits, Arrival, Play};
+use super::{arrivals, player_behavior, Arrival, ScenarioOptions};
 use crate::player::{FrontAddress, PlayerPool};
-use crate::script::{Day, ScheduledFault};
+use crate::script::{Scenario, ScheduledFault};
 use crate::stage::SimulatedBackend;
 use crate::wind_down::{wait_for_players, wait_for_streams};
 use crankpaddle_net::{clock, spawn, Stack};
@@ -27,7 +27,7 @@
 }
 
 struct Timeline<'a> {
-    day: &'a Day,
+    scenario: &'a Scenario,
     backend: &'a SimulatedBackend,
     fronts: &'a [FrontProcess],
     players: Arc<PlayerPool>,
@@ -41,43 +41,46 @@
 
 /// Runs a scenario. Returns descriptions of what went wrong outside the rules.
 pub(super) fn run(
-    day: &Day,
-    play: &Play,
+    scenario: &Scenario,
+    options: &ScenarioOptions,
     backend: &SimulatedBackend,
     fronts: &[FrontProcess],
 ) -> io::Result<Vec<String>> {
-    let players = Arc::new(PlayerPool::new(backend.recorder.clone(), habits(day)));
+    let players = Arc::new(PlayerPool::new(
+        backend.recorder.clone(),
+        player_behavior(scenario),
+    ));
     let zones = 0..backend.config.zones.len();
     let mut timeline = Timeline {
-        day,
+        scenario,
         backend,
         fronts,
         players: players.clone(),
-        transitions: transitions(day).into_iter().peekable(),
-        arrivals: arrivals(day, &backend.config, play.seed)
+        transitions: transitions(scenario).into_iter().peekable(),
+        arrivals: arrivals(scenario, &backend.config, options.seed)
             .into_iter()
             .peekable(),
         fronts_by_zone: zones.map(|zone| fronts_for_zone(fronts, zone)).collect(),
         start: clock::now(),
     };
-    let deadline = timeline.start + day.length + PLAYERS_LEAVE_TIMEOUT;
+    let deadline = timeline.start + scenario.length + PLAYERS_LEAVE_TIMEOUT;
     timeline.run_to_end()?;
-    let mut faults = Vec::new();
-    faults.extend(wait_for_players(&players, deadline));
-    faults.extend(wait_for_streams(&backend.fleet));
+    let mut failures = Vec::new();
+    failures.extend(wait_for_players(&players, deadline));
+    failures.extend(wait_for_streams(&backend.fleet));
     let failed_connects = players.failed_connects();
     if failed_connects > 0 {
-        faults.push(format!(
+        failures.push(format!(
             "{failed_connects} attempts could not connect to a front"
         ));
     }
-    Ok(faults)
+    Ok(failures)
 }
 
 /// The starts and ends of all faults, sorted by time.
-fn transitions(day: &Day) -> Vec<Transition<'_>> {
+fn transitions(scenario: &Scenario) -> Vec<Transition<'_>> {
     let mut transitions = Vec::new();
-    for fault in &day.faults {
+    for fault in &scenario.faults {
         transitions.push(Transition {
             at: fault.at,
             begins: true,
@@ -148,9 +151,9 @@
         let zones = self.fronts_by_zone.len() as u64;
         visit.fronts = self.fronts_by_zone[(visit.seed % zones) as usize].clone();
         // Without this limit a few long sessions would extend the run far beyond the end of the scenario.
-        visit.watch = visit.watch.min(self.day.length - at + WATCH_AFTER_END);
+        visit.watch = visit.watch.min(self.scenario.length - at + WATCH_AFTER_END);
         let players = self.players.clone();
-        let until = self.start + self.day.length;
+        let until = self.start + self.scenario.length;
         spawn(Stack::Default, move || players.visit(&visit, until));
     }
 }
--- a/crates/testbed/src/script/check.rs
+++ b/crates/testbed/src/script/check.rs
@@ -1,5 +1,5 @@
 //! Reads a scenario from protobuf text format and checks its values.
-use super::{fleet_config, Day, Kind, ScheduledFault};
+use super::{fleet_config, FaultKind, Scenario, ScheduledFault};
 use crate::fault_mode::ResponseFault;
 use crankpaddle_config::Problem;
 use crankpaddle_textproto::Checks;
@@ -26,10 +26,10 @@
 pub fn parse<E: fmt::Display>(
     text: &str,
     fleet: impl Fn(&str) -> Result<String, E>,
-) -> Result<Day, Vec<Problem>> {
+) -> Result<Scenario, Vec<Problem>> {
     let mut checks = Checks::new(text);
     let raw = checks.parse_message::<schema::Day>(DESCRIPTORS, DAY_MESSAGE, "");
-    let day = raw.map(|raw| {
+    let scenario = raw.map(|raw| {
         check_required(&mut checks, &raw);
         let fleet_text = fleet(&raw.fleet).unwrap_or_else(|error| {
             checks.report_problem("fleet", error.to_string());
@@ -37,7 +37,7 @@
         });
         check_day(&mut checks, &raw, fleet_text)
     });
-    checks.into_result(day)
+    checks.into_result(scenario)
 }
 
 fn check_required(checks: &mut Checks<'_>, raw: &schema::Day) {
@@ -99,7 +99,11 @@
     );
 }
 
-fn check_day(checks: &mut Checks<'_>, raw: &schema::Day, fleet_without_budgets: String) -> Day {
+fn check_day(
+    checks: &mut Checks<'_>,
+    raw: &schema::Day,
+    fleet_without_budgets: String,
+) -> Scenario {
     let servers = raw.servers.clone().unwrap_or_default();
     let traffic = raw.traffic.clone().unwrap_or_default();
     let fleet = format!("{fleet_without_budgets}{}", raw.budgets);
@@ -124,7 +128,7 @@
             .check(fault),
         );
     }
-    Day {
+    Scenario {
         name: raw.name.clone(),
         length: scope.day_length,
         fronts: scope.fronts,
@@ -224,45 +228,47 @@
         servers_of_fault
     }
 
-    fn kind(&mut self, raw: Option<&RawKind>) -> Kind {
+    fn kind(&mut self, raw: Option<&RawKind>) -> FaultKind {
         let Some(raw) = raw else {
             self.checks.report_problem(&self.path, MISSING_KIND);
-            return Kind::Hang;
+            return FaultKind::Hang;
         };
         match raw {
-            RawKind::Hang(_) => Kind::Hang,
-            RawKind::FastErrors(f) => Kind::FastErrors(self.fraction("fast_errors.part", f.part)),
-            RawKind::Crash(_) => Kind::Crash,
-            RawKind::Vanish(_) => Kind::Vanish,
-            RawKind::Slow(f) => {
-                Kind::Slow(
-                    self.checks
-                        .number_in_range(&self.field("slow.by"), f.by, 1.0, 100.0),
-                )
+            RawKind::Hang(_) => FaultKind::Hang,
+            RawKind::FastErrors(f) => {
+                FaultKind::FastErrors(self.fraction("fast_errors.part", f.part))
             }
+            RawKind::Crash(_) => FaultKind::Crash,
+            RawKind::Vanish(_) => FaultKind::Vanish,
+            RawKind::Slow(f) => FaultKind::Slow(self.checks.number_in_range(
+                &self.field("slow.by"),
+                f.by,
+                1.0,
+                100.0,
+            )),
             RawKind::Burst(f) => {
                 let path = self.field("burst.times");
-                Kind::Burst(self.checks.number_in_range(&path, f.times, 0.0, 100.0))
+                FaultKind::Burst(self.checks.number_in_range(&path, f.times, 0.0, 100.0))
             }
             RawKind::Crowd(f) => {
-                Kind::LoadSurge(f.title as usize, self.fraction("crowd.part", f.part))
+                FaultKind::LoadSurge(f.title as usize, self.fraction("crowd.part", f.part))
             }
             RawKind::ListLate(f) => {
                 let path = self.field("list_late.by");
-                Kind::ListLate(duration(self.checks, &path, &f.by))
+                FaultKind::ListLate(duration(self.checks, &path, &f.by))
             }
-            RawKind::ListGone(_) => Kind::ListGone,
+            RawKind::ListGone(_) => FaultKind::ListGone,
             RawKind::Stall(f) => self.stall(f),
-            RawKind::Drain(_) => Kind::Drain,
+            RawKind::Drain(_) => FaultKind::Drain,
             RawKind::BillAndReset(f) => {
-                Kind::BillAndReset(self.fraction("bill_and_reset.part", f.part))
+                FaultKind::BillAndReset(self.fraction("bill_and_reset.part", f.part))
             }
-            RawKind::Trickle(_) => Kind::Trickle,
+            RawKind::Trickle(_) => FaultKind::Trickle,
             RawKind::Astray(f) => self.response_fault(f),
         }
     }
 
-    fn stall(&mut self, raw: &schema::Stall) -> Kind {
+    fn stall(&mut self, raw: &schema::Stall) -> FaultKind {
         let path = self.field("stall.front");
         let known = raw.front.iter().all(|front| *front < self.scope.fronts);
         self.checks.require(
@@ -270,17 +276,17 @@
             &path,
             "names a front that the scenario does not have",
         );
-        Kind::Stall(raw.front.clone())
+        FaultKind::Stall(raw.front.clone())
     }
 
-    fn response_fault(&mut self, raw: &schema::Astray) -> Kind {
+    fn response_fault(&mut self, raw: &schema::Astray) -> FaultKind {
         let late_path = self.field("astray.late");
         let late = if raw.late.is_empty() {
             Duration::ZERO
         } else {
             duration(self.checks, &late_path, &raw.late)
         };
-        Kind::ResponseFault(ResponseFault {
+        FaultKind::ResponseFault(ResponseFault {
             late,
             lost: self.fraction("astray.lost", raw.lost),
             duplicated: self.fraction("astray.doubled", raw.doubled),
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -30,7 +30,7 @@
 }
 
 /// Names and texts of the built-in scenarios.
-pub const DAYS: [(&str, &str); 7] = [
+pub const BUILT_IN_SCENARIOS: [(&str, &str); 7] = [
     ("calm", include_str!("../../days/calm.textproto")),
     ("trouble", include_str!("../../days/trouble.textproto")),
     ("smoke", include_str!("../../days/smoke.textproto")),
@@ -42,7 +42,7 @@
 
 /// The kind of a fault, with its parameters.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum FaultKind {
     /// Servers accept set-ups but don't answer them.
     Hang,
     /// Servers answer this fraction of the set-ups with an immediate error.
@@ -83,12 +83,12 @@
     /// Numbers of the servers that have the fault; empty for kinds that affect no single server.
     pub servers: Vec<u32>,
     /// What the fault does.
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
 /// A scenario whose values have been checked.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     /// Name of the scenario.
     pub name: String,
     /// Time in which players arrive.
@@ -169,13 +169,13 @@
     }
 }
 
-impl Day {
+impl Scenario {
     /// Number of new sessions a second at a time since the start of the scenario. A load surge adds none.
     #[must_use]
     pub fn rate_at(&self, at: Duration) -> f64 {
         let active = self.faults.iter().filter(|fault| fault.is_active(at));
         let factors = active.map(|fault| match fault.kind {
-            Kind::Burst(times) => times,
+            FaultKind::Burst(times) => times,
             _ => 1.0,
         });
         self.rate * factors.product::<f64>()
@@ -189,7 +189,7 @@
             .iter()
             .filter(|fault| fault.is_active(at))
             .find_map(|fault| match fault.kind {
-                Kind::LoadSurge(title, fraction) => Some((title, fraction)),
+                FaultKind::LoadSurge(title, fraction) => Some((title, fraction)),
                 _ => None,
             })
     }
--- a/crates/testbed/src/script/tests.rs
+++ b/crates/testbed/src/script/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn read(text: &str) -> Result<Day, Vec<Problem>> {
+fn read(text: &str) -> Result<Scenario, Vec<Problem>> {
     parse(text, |name| {
         built_in_fleet(name).ok_or_else(|| format!("no fleet {name:?}"))
     })
@@ -8,15 +8,15 @@
 
 #[test]
 fn the_built_in_scenarios_are_valid() {
-    for (name, text) in DAYS {
-        let day = read(text).unwrap_or_else(|problems| panic!("{name}: {problems:?}"));
-        assert_eq!(day.name, name);
+    for (name, text) in BUILT_IN_SCENARIOS {
+        let scenario = read(text).unwrap_or_else(|problems| panic!("{name}: {problems:?}"));
+        assert_eq!(scenario.name, name);
     }
 }
 
 #[test]
 fn each_problem_is_reported_with_its_line() {
-    let (_, good) = DAYS[1];
+    let (_, good) = BUILT_IN_SCENARIOS[1];
     for (from, to, reported) in [
         (
             "servers {",
@@ -49,11 +49,14 @@
 
 #[test]
 fn bursts_raise_the_rate_while_they_last() {
-    let day = read(DAYS[1].1).unwrap();
-    let burst = day
+    let scenario = read(BUILT_IN_SCENARIOS[1].1).unwrap();
+    let burst = scenario
         .faults
         .iter()
-        .find(|fault| matches!(fault.kind, Kind::Burst(_)))
+        .find(|fault| matches!(fault.kind, FaultKind::Burst(_)))
         .unwrap();
-    assert!(day.rate_at(burst.at) > day.rate && day.rate_at(burst.at + burst.length) == day.rate);
+    assert!(
+        scenario.rate_at(burst.at) > scenario.rate
+            && scenario.rate_at(burst.at + burst.length) == scenario.rate
+    );
 }
--- a/crates/testbed/src/server/fleet.rs
+++ b/crates/testbed/src/server/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet of simulated servers: its layout, restarts of servers, and the faults that a scenario switches on.
 use super::session::SimulatedSession;
 use super::{lock, SimulatedServer};
-use crate::fault_mode::Mode;
+use crate::fault_mode::ServerFaults;
 use crate::model::{FleetModel, ServerSpec};
 use crate::record::{Recorder, Seen};
 use crankpaddle_config::Config;
@@ -24,7 +24,7 @@
 const UPLINK_SEED_OFFSET: usize = 1000;
 
 /// A fleet of simulated servers, with what they share.
-pub struct Fleet {
+pub struct SimulatedFleet {
     /// The configuration of the fronts, for zones, rungs and classes.
     pub config: Arc<Config>,
     /// Where all events are recorded.
@@ -43,7 +43,7 @@
 
 /// Size and properties of a fleet.
 #[derive(Clone, Debug)]
-pub struct Layout {
+pub struct FleetLayout {
     /// Number of servers. Server n is in cell n and in zone n, each modulo the number of cells or zones.
     pub count: usize,
     /// Number of processor cores of each server.
@@ -58,7 +58,7 @@
     pub seed: u64,
 }
 
-impl Layout {
+impl FleetLayout {
     /// A factor around 1 for the bandwidth of a link or uplink. `number` selects the draw.
     fn bandwidth_factor(&self, number: usize) -> f64 {
         let draw = jitter(self.seed ^ (number as u64) << 8);
@@ -91,7 +91,7 @@
     }
 }
 
-impl Fleet {
+impl SimulatedFleet {
     /// Starts a fleet on free loopback ports. Its servers are past their slow start. [`crankpaddle_net::start`] must have been
     /// called.
     ///
@@ -99,9 +99,9 @@
     /// A server can't listen on a port.
     pub fn start(
         config: Arc<Config>,
-        layout: &Layout,
+        layout: &FleetLayout,
         recorder: Recorder,
-    ) -> io::Result<Arc<Fleet>> {
+    ) -> io::Result<Arc<SimulatedFleet>> {
         let mut servers = Vec::new();
         let mut listeners = Vec::new();
         for id in 0..layout.count as u32 {
@@ -109,7 +109,7 @@
             servers.push(Arc::new(SimulatedServer::new(id, listener.local_addr()?)));
             listeners.push(listener);
         }
-        let fleet = Arc::new(Fleet {
+        let fleet = Arc::new(SimulatedFleet {
             recorder,
             model: Mutex::new(layout.model(&config)),
             sweeper: IdleSweeper::start(SWEEP_INTERVAL),
@@ -153,14 +153,14 @@
     ///
     /// # Errors
     /// The port does not become free in time.
-    pub fn restart(self: &Arc<Fleet>, id: u32) -> io::Result<()> {
+    pub fn restart(self: &Arc<SimulatedFleet>, id: u32) -> io::Result<()> {
         let server = &self.servers[id as usize];
         let listener = listen_once_free(server.address)?;
         lock(&self.model).start(id as usize, clock::now());
-        *lock(&server.mode) = Mode::default();
+        *lock(&server.faults) = ServerFaults::default();
         server.begin_incarnation();
         let places = f64::from(self.config.settings.stream_capacity[0]);
-        self.recorder.see(Seen::Started { server: id, places });
+        self.recorder.record(Seen::Started { server: id, places });
         server.listen(self, listener);
         Ok(())
     }
@@ -171,8 +171,8 @@
     }
 
     /// Changes the active faults of a server.
-    pub fn set_mode(&self, id: u32, change: impl FnOnce(&mut Mode)) {
-        change(&mut lock(&self.servers[id as usize].mode));
+    pub fn set_faults(&self, id: u32, change: impl FnOnce(&mut ServerFaults)) {
+        change(&mut lock(&self.servers[id as usize].faults));
     }
 
     /// Ends all playing sessions of a server and notifies their fronts. With `finished` the end is that of the title, otherwise
--- a/crates/testbed/src/server/mod.rs
+++ b/crates/testbed/src/server/mod.rs
@@ -11,14 +11,14 @@
 mod set_up;
 mod streams;
 
-use crate::fault_mode::Mode;
+use crate::fault_mode::ServerFaults;
 use crate::record::Seen;
 use crate::setup_log::SetUpLog;
 use crankpaddle_http::problem::Problem;
 use crankpaddle_net::exchange::HttpExchange;
 use crankpaddle_net::{accept_each, clock, sleep, CloseReason, Socket, WriteBuffer};
 use crankpaddle_server_protocol::event_stream::{self, SessionOver};
-pub use fleet::{Fleet, Layout};
+pub use fleet::{FleetLayout, SimulatedFleet};
 use may::net::TcpListener;
 use serde::de::DeserializeOwned;
 use session::SimulatedSession;
@@ -65,7 +65,7 @@
     ended_early: Mutex<HashSet<String>>,
     /// Names of sessions that were torn down before they were billed. They never ran and never will.
     fenced: Mutex<HashSet<String>>,
-    mode: Mutex<Mode>,
+    faults: Mutex<ServerFaults>,
 }
 
 /// What is left to do on a connection for a request.
@@ -93,18 +93,18 @@
             started_at: AtomicU64::new(0),
             ended_early: Mutex::default(),
             fenced: Mutex::default(),
-            mode: Mutex::default(),
+            faults: Mutex::default(),
         }
     }
 
     /// Number of fronts that have an event stream open.
-    pub fn listeners(&self) -> usize {
+    pub fn event_stream_count(&self) -> usize {
         lock(&self.event_streams).len()
     }
 
     /// The faults that are active now.
-    pub(crate) fn mode(&self) -> Mode {
-        *lock(&self.mode)
+    pub(crate) fn faults(&self) -> ServerFaults {
+        *lock(&self.faults)
     }
 
     /// Notes that a new incarnation starts now.
@@ -116,7 +116,7 @@
     }
 
     /// Accepts connections until the process stops.
-    fn listen(self: &Arc<SimulatedServer>, fleet: &Arc<Fleet>, listener: TcpListener) {
+    fn listen(self: &Arc<SimulatedServer>, fleet: &Arc<SimulatedFleet>, listener: TcpListener) {
         let stop = Arc::new(AtomicBool::new(false));
         *lock(&self.stop_listening) = stop.clone();
         self.up.store(true, Ordering::Release);
@@ -130,7 +130,7 @@
     }
 
     /// Simulates the end of the process: closes its connections and port, and ends its sessions.
-    fn stop(&self, fleet: &Fleet) {
+    fn stop(&self, fleet: &SimulatedFleet) {
         if !self.up.swap(false, Ordering::AcqRel) {
             return;
         }
@@ -151,11 +151,11 @@
     }
 
     /// Ends a session. Returns the number of media bytes that were sent for it; `None` where no session has this name.
-    fn end(&self, fleet: &Fleet, name: &str) -> Option<u64> {
+    fn end(&self, fleet: &SimulatedFleet, name: &str) -> Option<u64> {
         let session = lock(&self.sessions).remove(name)?;
         lock(&fleet.model).end(self.id as usize, session.stream);
         if session.plays {
-            fleet.recorder.see(Seen::Ended {
+            fleet.recorder.record(Seen::Ended {
                 name: name.to_owned(),
                 bytes: session.bytes,
             });
@@ -183,10 +183,10 @@
     }
 
     /// Serves the requests of a connection until it ends.
-    fn serve(self: &Arc<SimulatedServer>, fleet: &Arc<Fleet>, socket: &Arc<Socket>) {
+    fn serve(self: &Arc<SimulatedServer>, fleet: &Arc<SimulatedFleet>, socket: &Arc<Socket>) {
         let mut exchange = HttpExchange::new(socket.clone());
         while let Ok((request, body)) = exchange.request(MAX_BODY, None) {
-            while self.mode().vanished {
+            while self.faults().vanished {
                 if socket.is_closed() {
                     return;
                 }
@@ -201,7 +201,7 @@
                 RequestResult::Sent => continue,
                 RequestResult::ConnectionOver => return,
             };
-            let sent = if self.mode().trickles {
+            let sent = if self.faults().trickles {
                 trickle(socket, &response)
             } else {
                 socket.write_all(&response).is_ok()
@@ -215,7 +215,7 @@
     /// Carries out a request to the server's HTTP API, selected by its method and path.
     fn answer(
         self: &Arc<SimulatedServer>,
-        fleet: &Arc<Fleet>,
+        fleet: &Arc<SimulatedFleet>,
         socket: &Arc<Socket>,
         method: &str,
         path: &str,
--- a/crates/testbed/src/server/sessions.rs
+++ b/crates/testbed/src/server/sessions.rs
@@ -1,6 +1,6 @@
 //! Requests about the sessions of a simulated server: inventory, change of rung and tear-down.
 use super::session::SimulatedSession;
-use super::{lock, Fleet, SimulatedServer};
+use super::{lock, SimulatedFleet, SimulatedServer};
 use crate::record::Seen;
 use crankpaddle_http::head;
 use crankpaddle_http::problem::Problem;
@@ -14,11 +14,11 @@
 
 impl SimulatedServer {
     /// The response with the inventory of one front's sessions.
-    pub(super) fn inventory(&self, fleet: &Fleet, query: &str) -> Vec<u8> {
+    pub(super) fn inventory(&self, fleet: &SimulatedFleet, query: &str) -> Vec<u8> {
         let front = query.strip_prefix("front=").unwrap_or("");
         let sessions = lock(&self.sessions);
         for name in lock(&self.fenced).iter() {
-            fleet.recorder.see(Seen::Disowned { name: name.clone() });
+            fleet.recorder.record(Seen::Disowned { name: name.clone() });
         }
         let of_front = |plays: bool| {
             let belongs =
@@ -42,7 +42,7 @@
     }
 
     /// Changes the rung of a session and returns the response.
-    pub(super) fn set_rung(&self, fleet: &Fleet, name: &str, body: &[u8]) -> Vec<u8> {
+    pub(super) fn set_rung(&self, fleet: &SimulatedFleet, name: &str, body: &[u8]) -> Vec<u8> {
         let rung = match super::read_json::<RungBody>(body) {
             Ok(RungBody { rung }) => rung,
             Err(problem) => return problem,
@@ -55,7 +55,7 @@
         let rate = fleet.rate(session.class, rung);
         lock(&fleet.model).set_rate(self.id as usize, session.stream, rate);
         drop(sessions);
-        fleet.recorder.see(Seen::Rung {
+        fleet.recorder.record(Seen::Rung {
             name: name.to_owned(),
             rung,
         });
@@ -64,7 +64,7 @@
 
     /// Ends a session and returns the response, which states the media bytes sent. If the session was not billed, it will not
     /// run later either.
-    pub(super) fn tear_down(&self, fleet: &Fleet, name: &str) -> Vec<u8> {
+    pub(super) fn tear_down(&self, fleet: &SimulatedFleet, name: &str) -> Vec<u8> {
         if !lock(&self.set_up_log).was_billed(name) {
             lock(&self.fenced).insert(name.to_owned());
         }
--- a/crates/testbed/src/server/set_up.rs
+++ b/crates/testbed/src/server/set_up.rs
@@ -1,7 +1,7 @@
 //! The set-up of a session at a simulated server, with the faults that a scenario switches on.
 use super::session::SimulatedSession;
-use super::{lock, Fleet, SimulatedServer};
-use crate::fault_mode::Mode;
+use super::{lock, SimulatedFleet, SimulatedServer};
+use crate::fault_mode::ServerFaults;
 use crate::model::SetUpResult;
 use crate::record::{Reply, Seen};
 use crankpaddle_http::head;
@@ -28,20 +28,20 @@
 /// A set-up in progress.
 struct SetUp<'a> {
     server: &'a Arc<SimulatedServer>,
-    fleet: &'a Arc<Fleet>,
+    fleet: &'a Arc<SimulatedFleet>,
     socket: &'a Socket,
     /// Name of the session.
     name: &'a str,
     request: SetUpBody,
     /// The server's faults when the set-up arrived.
-    mode: Mode,
+    faults: ServerFaults,
 }
 
 impl SimulatedServer {
     /// Sets a session up and returns the response. `None` where the connection ends without a response.
     pub(super) fn set_up(
         self: &Arc<SimulatedServer>,
-        fleet: &Arc<Fleet>,
+        fleet: &Arc<SimulatedFleet>,
         socket: &Socket,
         name: &str,
         body: &[u8],
@@ -50,7 +50,7 @@
             Ok(request) => request,
             Err(problem) => return Some(problem),
         };
-        fleet.recorder.see(Seen::SetUp {
+        fleet.recorder.record(Seen::SetUp {
             name: name.to_owned(),
             server: self.id,
             front: request.front.clone(),
@@ -66,7 +66,7 @@
             socket,
             name,
             request,
-            mode: self.mode(),
+            faults: self.faults(),
         };
         match set_up.run() {
             Ok(response) | Err(Unsuccessful::Answered(response)) => Some(response),
@@ -75,9 +75,9 @@
     }
 
     /// Bills a session. From now on its set-up counts as one that ran.
-    fn bill(&self, fleet: &Fleet, name: &str, request: &SetUpBody) {
+    fn bill(&self, fleet: &SimulatedFleet, name: &str, request: &SetUpBody) {
         lock(&self.set_up_log).log_billed(name, request);
-        fleet.recorder.see(Seen::Billed {
+        fleet.recorder.record(Seen::Billed {
             name: name.to_owned(),
             bill: request.bill.clone(),
         });
@@ -102,7 +102,7 @@
     }
 
     fn record_reply(&self, reply: Reply) {
-        self.fleet.recorder.see(Seen::Replied {
+        self.fleet.recorder.record(Seen::Replied {
             name: self.name.to_owned(),
             reply,
         });
@@ -130,7 +130,7 @@
             let problem = Problem::new(409, "the name is taken, ended, or its class unknown");
             return Err(self.answer(Reply::Error, &problem));
         };
-        if self.fleet.draw() < self.mode.errors {
+        if self.fleet.draw() < self.faults.errors {
             let problem = Problem::new(500, "set-up failed");
             return Err(self.answer(Reply::Error, &problem));
         }
@@ -153,7 +153,7 @@
             }
             SetUpResult::Overloaded => {
                 let server = self.server.id;
-                self.fleet.recorder.see(Seen::Fell { server });
+                self.fleet.recorder.record(Seen::Fell { server });
                 self.record_reply(Reply::Reset);
                 self.server.stop(self.fleet);
                 Err(Unsuccessful::Disconnected)
@@ -165,8 +165,9 @@
     /// set-up was billed meanwhile.
     fn work_until(&self, done_at: Time, paid: bool) -> Result<bool, Unsuccessful> {
         let mut billed = false;
-        while clock::now() < done_at || self.server.mode().hangs || self.server.mode().vanished {
-            if self.mode.hangs && clock::now() >= done_at && !billed && paid {
+        while clock::now() < done_at || self.server.faults().hangs || self.server.faults().vanished
+        {
+            if self.faults.hangs && clock::now() >= done_at && !billed && paid {
                 // This is the fault that a hanging server simulates: the session runs, but no front is notified.
                 billed = true;
                 self.server.bill(self.fleet, self.name, &self.request);
@@ -198,7 +199,7 @@
 
     /// Injects the fault that the connection is reset after the session was billed.
     fn maybe_reset(&self) -> Result<(), Unsuccessful> {
-        if self.fleet.draw() >= self.mode.bills_and_resets {
+        if self.fleet.draw() >= self.faults.bills_and_resets {
             return Ok(());
         }
         self.record_reply(Reply::Reset);
--- a/crates/testbed/src/server/streams.rs
+++ b/crates/testbed/src/server/streams.rs
@@ -1,6 +1,6 @@
 //! Responses that a simulated server sends over a longer time: media segments and event streams.
 use super::session::SimulatedSession;
-use super::{lock, Fleet, SimulatedServer};
+use super::{lock, SimulatedFleet, SimulatedServer};
 use crankpaddle_http::problem::Problem;
 use crankpaddle_net::{clock, sleep, Socket, WriteBuffer};
 use crankpaddle_server_protocol::event_stream::{self, StreamStart};
@@ -23,7 +23,7 @@
 
 impl SimulatedServer {
     /// Answers a request for a media segment. Returns false where the connection is over.
-    pub(super) fn serve_media(&self, fleet: &Fleet, socket: &Socket, name: &str) -> bool {
+    pub(super) fn serve_media(&self, fleet: &SimulatedFleet, socket: &Socket, name: &str) -> bool {
         let rate = |session: &SimulatedSession| {
             session
                 .plays
@@ -41,7 +41,13 @@
     }
 
     /// Sends a segment at the rate that link and uplink allow. Returns false where session or connection is over.
-    fn send_segment(&self, fleet: &Fleet, socket: &Socket, name: &str, size: usize) -> bool {
+    fn send_segment(
+        &self,
+        fleet: &SimulatedFleet,
+        socket: &Socket,
+        name: &str,
+        size: usize,
+    ) -> bool {
         let segment = nanoseconds(fleet.segment);
         let count = (segment * PIECES_PER_SECOND / NANOSECONDS_PER_SECOND).max(1) as usize;
         let piece = vec![MEDIA_BYTE; size.div_ceil(count)];
@@ -53,7 +59,7 @@
             due += Duration::from_nanos((segment as f64 / count as f64 / share) as u64);
             sleep(due.duration_since(clock::now()));
             let length = piece.len().min(remaining);
-            let silent = self.mode().vanished || self.mode().hangs;
+            let silent = self.faults().vanished || self.faults().hangs;
             if !self.count_sent(name, if silent { 0 } else { length as u64 }) {
                 return false;
             }
--- a/crates/testbed/src/server_reports.rs
+++ b/crates/testbed/src/server_reports.rs
@@ -2,7 +2,7 @@
 //! of bytes, and rates of cross-zone traffic. Each message has the configured delay. A scenario's fault can further delay,
 //! lose or duplicate it.
 use crate::fault_mode::ResponseFault;
-use crate::server::{lock, Fleet, SimulatedServer};
+use crate::server::{lock, SimulatedFleet, SimulatedServer};
 use crankpaddle_front::jitter;
 use crankpaddle_http::sse;
 use crankpaddle_net::{clock, sleep, spawn, Stack, WriteBuffer};
@@ -80,7 +80,7 @@
 /// Sends the reports of one server.
 struct Reporter {
     server: Arc<SimulatedServer>,
-    fleet: Arc<Fleet>,
+    fleet: Arc<SimulatedFleet>,
     queue: DelayQueue,
     /// When short delivery was reported the last time.
     short_delivery_at: Time,
@@ -90,7 +90,7 @@
 
 impl SimulatedServer {
     /// Rates at which the server sends to other zones, by zone and class, bytes a second.
-    fn cross_zone_rates(&self, fleet: &Fleet) -> Vec<CrossZoneRate> {
+    fn cross_zone_rates(&self, fleet: &SimulatedFleet) -> Vec<CrossZoneRate> {
         let own_zone = &fleet.config.zones[fleet.zone(self.id)];
         let mut rates: BTreeMap<(String, usize), f64> = BTreeMap::new();
         for session in lock(&self.sessions).values() {
@@ -119,7 +119,7 @@
     }
 
     /// Starts to send reports. They are sent until the testbed's process ends.
-    pub(crate) fn notify_fronts(self: &Arc<SimulatedServer>, fleet: &Arc<Fleet>) {
+    pub(crate) fn notify_fronts(self: &Arc<SimulatedServer>, fleet: &Arc<SimulatedFleet>) {
         let mut reporter = Reporter {
             server: self.clone(),
             fleet: fleet.clone(),
@@ -140,12 +140,12 @@
 impl Reporter {
     /// Sends the reports that are due and delivers the messages that have arrived.
     fn tick(&mut self) {
-        if !self.server.up.load(Ordering::Acquire) || self.server.mode().vanished {
+        if !self.server.up.load(Ordering::Acquire) || self.server.faults().vanished {
             self.queue.messages.clear();
             return;
         }
         let now = clock::now();
-        let fault = self.server.mode().response_fault;
+        let fault = self.server.faults().response_fault;
         let settings = &self.fleet.config.settings;
         let due = now + Duration::from_nanos(settings.update_delay);
         let load = self.link_load();
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -1,8 +1,8 @@
 //! The simulated servers and list service that the fronts of a scenario or a fleet case run against.
 use crate::list_service::ListService;
 use crate::record::Recorder;
-use crate::script::{fleet_config, Day};
-use crate::server::{Fleet, Layout};
+use crate::script::{fleet_config, Scenario};
+use crate::server::{FleetLayout, SimulatedFleet};
 use crankpaddle_config::Config;
 use std::io;
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 
 /// The layout of a scenario's simulated servers.
 #[must_use]
-pub fn layout(day: &Day, seed: u64) -> Layout {
-    Layout {
-        count: day.servers as usize,
-        cores: day.cores as usize,
-        work: day.set_up_work,
-        uneven: day.bandwidth_spread,
-        segment: day.segment_length,
+pub fn layout(scenario: &Scenario, seed: u64) -> FleetLayout {
+    FleetLayout {
+        count: scenario.servers as usize,
+        cores: scenario.cores as usize,
+        work: scenario.set_up_work,
+        uneven: scenario.bandwidth_spread,
+        segment: scenario.segment_length,
         seed,
     }
 }
@@ -26,7 +26,7 @@
     pub(crate) config: Arc<Config>,
     /// Text of the fronts' configuration, without the blocks that differ from front to front.
     pub(crate) config_text: String,
-    pub(crate) fleet: Arc<Fleet>,
+    pub(crate) fleet: Arc<SimulatedFleet>,
     pub(crate) list: Arc<ListService>,
     /// Delay of the list service while no fault changes it.
     pub(crate) list_delay: Duration,
@@ -35,18 +35,21 @@
 
 impl SimulatedBackend {
     /// Starts the servers and the list service of a scenario.
-    pub(crate) fn start(day: &Day, seed: u64) -> io::Result<SimulatedBackend> {
+    pub(crate) fn start(scenario: &Scenario, seed: u64) -> io::Result<SimulatedBackend> {
         let invalid = |problems| io::Error::other(format!("fleet: {problems:?}"));
-        let config = fleet_config(&day.fleet).map(Arc::new).map_err(invalid)?;
+        let config = fleet_config(&scenario.fleet)
+            .map(Arc::new)
+            .map_err(invalid)?;
         let recorder = Recorder::default();
-        let fleet = Fleet::start(config.clone(), &layout(day, seed), recorder.clone())?;
-        let list = ListService::start_for(&fleet, day.list_delay)?;
+        let fleet =
+            SimulatedFleet::start(config.clone(), &layout(scenario, seed), recorder.clone())?;
+        let list = ListService::start_for(&fleet, scenario.list_delay)?;
         Ok(SimulatedBackend {
             config,
-            config_text: day.fleet.clone(),
+            config_text: scenario.fleet.clone(),
             fleet,
             list,
-            list_delay: day.list_delay,
+            list_delay: scenario.list_delay,
             recorder,
         })
     }
--- a/crates/testbed/src/wind_down.rs
+++ b/crates/testbed/src/wind_down.rs
@@ -1,6 +1,6 @@
 //! Waits at the end of a run until players have left and fronts have ended the sessions without a viewer.
 use crate::player::PlayerPool;
-use crate::server::Fleet;
+use crate::server::SimulatedFleet;
 use crankpaddle_net::clock;
 use crankpaddle_time::Time;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 /// Waits until the servers have no streams: a front ends sessions of absent players after the resume window. Returns a
 /// description of the fault where streams are left.
-pub(crate) fn wait_for_streams(fleet: &Fleet) -> Option<String> {
+pub(crate) fn wait_for_streams(fleet: &SimulatedFleet) -> Option<String> {
     let deadline = clock::now() + fleet.config.terms.resume_window + SESSION_END_GRACE;
     while fleet.streams() > 0 && clock::now() < deadline {
         std::thread::sleep(CHECK_INTERVAL);
--- a/crates/testbed/tests/breaches.rs
+++ b/crates/testbed/tests/breaches.rs
@@ -1,6 +1,8 @@
 //! Tests the invariant checker. For each rule there are records with a breach, which it must find, and very similar records
 //! without a breach, which must pass.
-use crankpaddle_testbed::invariant_checker::{judge, ClassLimits, RetryBudget, Rules, Verdict};
+use crankpaddle_testbed::invariant_checker::{
+    check_invariants, ClassLimits, RetryBudget, Rules, Verdict,
+};
 use crankpaddle_testbed::record::{PlayerReply, Record, Reply, Seen};
 use crankpaddle_time::Time;
 use std::time::Duration;
@@ -112,7 +114,7 @@
 fn broken_rules(records: &[Record]) -> Vec<u8> {
     let mut sorted = records.to_vec();
     sorted.sort_by_key(|record| record.at);
-    let mut found: Vec<u8> = judge(&rules(), &sorted)
+    let mut found: Vec<u8> = check_invariants(&rules(), &sorted)
         .breaches
         .iter()
         .map(|breach| breach.rule)
@@ -139,7 +141,7 @@
 
 #[test]
 fn records_without_a_breach_pass_all_rules() {
-    let verdict = judge(&rules(), &complete_call());
+    let verdict = check_invariants(&rules(), &complete_call());
     let expected = Verdict {
         sessions: 1,
         answered_once: 1,
@@ -231,7 +233,7 @@
 
 #[test]
 fn second_bills_and_second_set_ups_are_found() {
-    let verdict = judge(
+    let verdict = check_invariants(
         &rules(),
         &[complete_call(), vec![billed(50, "n1", "b1")]].concat(),
     );
