--- a/crates/benchmark/src/account.rs
+++ b/crates/benchmark/src/account.rs
@@ -25,7 +25,7 @@
 
 /// The extent of the measurement.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct AccountingPlan {
     /// Number of sessions that are active at the same time.
     pub sessions: u64,
     /// Length of each round in seconds of the simulated clock.
@@ -99,7 +99,7 @@
 
 /// The simulated sessions of one round, with the accounting or without it.
 struct SessionLoad<'a> {
-    plan: &'a Plan,
+    plan: &'a AccountingPlan,
     /// The accounting; `None` in a round without it.
     controller: Option<&'a mut TrafficController>,
     /// Bytes sent so far, by attempt id.
@@ -108,7 +108,10 @@
 }
 
 impl<'a> SessionLoad<'a> {
-    fn new(plan: &'a Plan, mut controller: Option<&'a mut TrafficController>) -> SessionLoad<'a> {
+    fn new(
+        plan: &'a AccountingPlan,
+        mut controller: Option<&'a mut TrafficController>,
+    ) -> SessionLoad<'a> {
         if let Some(controller) = controller.as_deref_mut() {
             for id in 0..plan.sessions {
                 controller.attempt_started(attempt(id));
@@ -221,7 +224,7 @@
 ///
 /// # Panics
 /// The plan has no rounds.
-pub fn run(plan: &Plan) -> io::Result<String> {
+pub fn run(plan: &AccountingPlan) -> io::Result<String> {
     let pid = std::process::id();
     let mut pairs = Vec::new();
     let mut bytes_per_session = 0.0;
@@ -243,7 +246,7 @@
     Ok(format_table(plan, &pairs, bytes_per_session))
 }
 
-fn format_table(plan: &Plan, pairs: &[RoundPair], bytes_per_session: f64) -> String {
+fn format_table(plan: &AccountingPlan, pairs: &[RoundPair], bytes_per_session: f64) -> String {
     let session_seconds = (plan.sessions * plan.seconds) as f64;
     let ns_per_session_second = |cpu: f64| cpu * 1e9 / session_seconds;
     let rows: [Row<'_>; 5] = [
--- a/crates/benchmark/src/bench/mod.rs
+++ b/crates/benchmark/src/bench/mod.rs
@@ -26,7 +26,7 @@
 
 /// The programs to measure and the extent of the measurement.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ComparisonPlan {
     /// The program to run, as `EXE front -c FILE` and as `EXE lab relay ADDRESS...`.
     pub exe: PathBuf,
     /// Directory for the front's configuration; created if it does not exist.
@@ -45,7 +45,7 @@
 
 /// The result of a comparison.
 #[derive(Clone, Debug)]
-pub struct Measured {
+pub struct ComparisonResult {
     /// The table, followed by the failures of the front and of the relay.
     pub text: String,
     /// Fraction of set-ups that failed, from 0 to 1: that of the front or of the relay, whichever is larger.
@@ -61,7 +61,7 @@
 }
 
 impl Environment {
-    fn start(plan: &Plan) -> io::Result<Environment> {
+    fn start(plan: &ComparisonPlan) -> io::Result<Environment> {
         std::fs::create_dir_all(&plan.dir)?;
         let text = fleet_config_text(&plan.log);
         let config =
@@ -133,7 +133,7 @@
 /// # Errors
 /// A process, a stand-in server or the list service could not be started, or the processor time or memory of a process can't be
 /// read.
-pub fn run(plan: &Plan) -> io::Result<Measured> {
+pub fn run(plan: &ComparisonPlan) -> io::Result<ComparisonResult> {
     let environment = Environment::start(plan)?;
     let clients = Clients::new();
     let (mut front, mut relay) = (SideResult::default(), SideResult::default());
@@ -151,7 +151,7 @@
         front_memory,
         relay_memory,
     };
-    Ok(Measured {
+    Ok(ComparisonResult {
         text: report::format_table(plan, &comparison),
         failed,
     })
@@ -159,7 +159,7 @@
 
 /// Measures the throughput of both processes, then their latencies at half the front's median throughput. Returns that rate.
 fn measure_throughput_and_latency(
-    plan: &Plan,
+    plan: &ComparisonPlan,
     environment: &Environment,
     clients: &Clients,
     front: &mut SideResult,
--- a/crates/benchmark/src/bench/report.rs
+++ b/crates/benchmark/src/bench/report.rs
@@ -1,6 +1,6 @@
 //! Formats the results of a comparison as a table.
 use super::load::MemoryUse;
-use super::Plan;
+use super::ComparisonPlan;
 use crate::failures::Failures;
 use hdrhistogram::Histogram;
 use std::fmt::Write as _;
@@ -58,7 +58,7 @@
 }
 
 /// Formats the table, followed by the failures of the front and of the relay.
-pub(super) fn format_table(plan: &Plan, comparison: &Comparison) -> String {
+pub(super) fn format_table(plan: &ComparisonPlan, comparison: &Comparison) -> String {
     let mut out = format!(
         "{} rounds of {} s in turns, front log level {}\n",
         plan.rounds, plan.seconds, plan.log
@@ -112,7 +112,7 @@
     }
 }
 
-fn write_memory_rows(out: &mut String, plan: &Plan, comparison: &Comparison) {
+fn write_memory_rows(out: &mut String, plan: &ComparisonPlan, comparison: &Comparison) {
     let (front, relay) = (&comparison.front_memory, &comparison.relay_memory);
     let name = format!("bytes an idle connection, {}", plan.idle);
     let ratio = format!("{:.2}", front.idle_connection / relay.idle_connection);
--- a/crates/cli/src/testbed/benchmarks.rs
+++ b/crates/cli/src/testbed/benchmarks.rs
@@ -56,7 +56,7 @@
 /// A process or a socket can't be started.
 pub(super) fn run_front(args: FrontBenchmarkArgs) -> Result<ExitCode, CommandFailure> {
     crankpaddle_net::start(Some(BENCHMARK_WORKER_THREADS));
-    let plan = bench::Plan {
+    let plan = bench::ComparisonPlan {
         exe: std::env::current_exe()?,
         dir: temporary_dir(),
         rounds: args.rounds,
@@ -77,7 +77,7 @@
 ///
 /// The benchmark fails, as described there.
 pub(super) fn run_accounting(args: &AccountingBenchmarkArgs) -> Result<ExitCode, CommandFailure> {
-    let plan = account::Plan {
+    let plan = account::AccountingPlan {
         sessions: args.sessions,
         seconds: args.seconds,
         rounds: args.rounds as usize,
--- a/crates/cli/src/testbed/fleet_case.rs
+++ b/crates/cli/src/testbed/fleet_case.rs
@@ -3,7 +3,9 @@
 use super::fleet_processes;
 use crate::failure::{exit_code_of, CommandFailure};
 use clap::Args;
-use crankpaddle_fault_simulation::{Case, CaseResult, SendRate, SimulatedNetwork, CASES};
+use crankpaddle_fault_simulation::{
+    CaseResult, FleetCase, SendRate, SimulatedNetwork, BUILT_IN_CASES,
+};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -109,25 +111,26 @@
 }
 
 fn list_cases() -> Result<ExitCode, CommandFailure> {
-    for (name, _) in CASES {
+    for (name, _) in BUILT_IN_CASES {
         println!("{name:10} {}", read_case(name)?.description);
     }
     Ok(ExitCode::SUCCESS)
 }
 
 /// Reads a case, given by its built-in name or the path of its script.
-fn read_case(name: &str) -> Result<Case, CommandFailure> {
-    let built_in = CASES.iter().find(|(known, _)| *known == name);
+fn read_case(name: &str) -> Result<FleetCase, CommandFailure> {
+    let built_in = BUILT_IN_CASES.iter().find(|(known, _)| *known == name);
     let text = match built_in {
         Some((_, text)) => (*text).to_owned(),
         None => read_script(name)?,
     };
-    crankpaddle_fault_simulation::parse(&text).map_err(|problems| invalid_script(name, &problems))
+    crankpaddle_fault_simulation::parse_case(&text)
+        .map_err(|problems| invalid_script(name, &problems))
 }
 
 fn read_script(name: &str) -> Result<String, CommandFailure> {
     std::fs::read_to_string(name).map_err(|error| {
-        let known: Vec<&str> = CASES.iter().map(|(name, _)| *name).collect();
+        let known: Vec<&str> = BUILT_IN_CASES.iter().map(|(name, _)| *name).collect();
         let known = known.join(", ");
         CommandFailure::invalid_input(format_args!(
             "{name}: {error}; the built-in cases are {known}"
@@ -135,9 +138,9 @@
     })
 }
 
-fn play_simulated(case: &Case, args: &FleetArgs) -> Result<ExitCode, CommandFailure> {
+fn play_simulated(case: &FleetCase, args: &FleetArgs) -> Result<ExitCode, CommandFailure> {
     let mut network = SimulatedNetwork::for_case(case, args.fronts as usize, args.seed);
-    let played = crankpaddle_fault_simulation::play(case, &mut network)
+    let played = crankpaddle_fault_simulation::run_case(case, &mut network)
         .map_err(CommandFailure::invalid_input)?;
     let (passed, all) = print_claims(&played);
     println!(
@@ -151,9 +154,9 @@
 pub(super) fn print_claims(played: &CaseResult) -> (usize, usize) {
     for claim in &played.claims {
         let verdict = if claim.holds { "kept" } else { "BROKEN" };
-        eprintln!("{verdict}: {}: {}", claim.claim, claim.measured);
+        eprintln!("{verdict}: {}: {}", claim.description, claim.measurement);
     }
-    let SendRate { datagrams, bytes } = played.sent;
+    let SendRate { datagrams, bytes } = played.max_send_rate;
     eprintln!("sent by one front at most: {datagrams:.1} datagrams, {bytes:.0} bytes a second");
     played.satisfied_claims()
 }
--- a/crates/cli/src/testbed/fleet_processes.rs
+++ b/crates/cli/src/testbed/fleet_processes.rs
@@ -3,7 +3,7 @@
 use super::fleet_case::{print_claims, FleetArgs, RetentionArg};
 use super::judge::breach_line;
 use crate::failure::CommandFailure;
-use crankpaddle_fault_simulation::Case;
+use crankpaddle_fault_simulation::FleetCase;
 use crankpaddle_testbed::fleet::{self, Cost, FleetCaseOptions, FleetCaseOutcome, Retention};
 use crankpaddle_time::nanoseconds;
 use std::path::PathBuf;
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// The case can't be played with processes, or a process can't be started.
-pub(super) fn play(case: &Case, args: &FleetArgs) -> Result<ExitCode, CommandFailure> {
+pub(super) fn play(case: &FleetCase, args: &FleetArgs) -> Result<ExitCode, CommandFailure> {
     let mut exit_codes = Vec::new();
     for retention in retentions(args.memory) {
         if case.needs_disks() {
@@ -58,7 +58,7 @@
 }
 
 fn play_once(
-    case: &Case,
+    case: &FleetCase,
     args: &FleetArgs,
     retention: Retention,
 ) -> Result<ExitCode, CommandFailure> {
@@ -80,7 +80,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn check_playable(case: &Case, fronts: u32) -> Result<(), CommandFailure> {
+fn check_playable(case: &FleetCase, fronts: u32) -> Result<(), CommandFailure> {
     let reason = if fronts > MAX_PROCESSES {
         "at most 100 fronts can be processes; play more with --virtual"
     } else if case.needs_gossip_state() {
@@ -118,7 +118,7 @@
     program.cloned().map_or_else(std::env::current_exe, Ok)
 }
 
-fn print_outcome(case: &Case, fronts: u32, outcome: &FleetCaseOutcome) {
+fn print_outcome(case: &FleetCase, fronts: u32, outcome: &FleetCaseOutcome) {
     let (passed, all) = print_claims(&outcome.played);
     let verdict = &outcome.verdict;
     for breach in verdict.breaches.iter().take(MAX_PRINTED_LINES) {
--- a/crates/fault-simulation/examples/foca.rs
+++ b/crates/fault-simulation/examples/foca.rs
@@ -5,9 +5,9 @@
 //! members that are down every 2 s, as the project's membership does, instead of every 65 s. It has no local health, no gossip
 //! state and no state for members that left, so claims about these can't hold.
 use crankpaddle_fault_simulation::{
-    front_name, parse, play, ActionError, Case, EntryAge, EventQueue, HostAction, Link,
-    MemberTransition, NetworkConditions, ProcessState, SentCounts, SimulatedProcesses, CASES,
-    DEFAULT_DELAY, SIMULATION_START,
+    front_name, parse_case, run_case, ActionError, EntryAge, EventQueue, FleetCase, HostAction,
+    Link, MemberTransition, NetworkConditions, ProcessState, SentCounts, SimulatedProcesses,
+    BUILT_IN_CASES, DEFAULT_DELAY, SIMULATION_START,
 };
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::Time;
@@ -114,12 +114,12 @@
 }
 
 impl FocaNetwork {
-    fn for_case(case: &Case, fronts: usize, seed: u64) -> FocaNetwork {
+    fn for_case(case: &FleetCase, fronts: usize, seed: u64) -> FocaNetwork {
         let mut network = FocaNetwork {
             now: SIMULATION_START,
             nodes: Vec::new(),
-            seeds: case.seeds.of(fronts),
-            conditions: NetworkConditions::good(DEFAULT_DELAY),
+            seeds: case.seeds.members(fronts),
+            conditions: NetworkConditions::without_faults(DEFAULT_DELAY),
             queue: EventQueue::default(),
             rng: oorandom::Rand64::new(u128::from(seed)),
             transitions: Vec::new(),
@@ -135,7 +135,7 @@
                 sent: SentCounts::default(),
             });
         }
-        for number in case.first.of(fronts) {
+        for number in case.initial_fronts.members(fronts) {
             network.start(number);
         }
         network
@@ -387,22 +387,22 @@
             .unwrap_or(default)
     };
     let (fronts, seed) = (number_arg(1, 40) as usize, number_arg(2, 1));
-    let Some((_, text)) = CASES.iter().find(|(name, _)| *name == case_name) else {
+    let Some((_, text)) = BUILT_IN_CASES.iter().find(|(name, _)| *name == case_name) else {
         return eprintln!("unknown case {case_name:?}");
     };
-    let case = parse(text).expect("built-in cases are valid");
-    match play(&case, &mut FocaNetwork::for_case(&case, fronts, seed)) {
+    let case = parse_case(text).expect("built-in cases are valid");
+    match run_case(&case, &mut FocaNetwork::for_case(&case, fronts, seed)) {
         Err(error) => eprintln!("{case_name}: {error}"),
         Ok(result) => {
             for claim in &result.claims {
                 println!(
                     "{}: {}: {}",
                     if claim.holds { "kept" } else { "BROKEN" },
-                    claim.claim,
-                    claim.measured
+                    claim.description,
+                    claim.measurement
                 );
             }
-            let ((kept, all), sent) = (result.satisfied_claims(), result.sent);
+            let ((kept, all), sent) = (result.satisfied_claims(), result.max_send_rate);
             println!("foca {case_name}: fronts {fronts}, claims kept {kept}/{all}, {:.1} datagrams, {:.0} bytes a second", sent.datagrams, sent.bytes);
         }
     }
--- a/crates/fault-simulation/src/cluster.rs
+++ b/crates/fault-simulation/src/cluster.rs
@@ -1,6 +1,6 @@
 //! The interface that a case runs on. It is implemented for a simulated fleet in one process and for a fleet of real processes.
 use crate::error::ActionError;
-use crate::scenario::Action;
+use crate::scenario::CaseAction;
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::Time;
 use std::time::Duration;
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// This cluster doesn't support the action, or the action failed.
-    fn act(&mut self, action: &Action) -> Result<(), ActionError>;
+    fn act(&mut self, action: &CaseAction) -> Result<(), ActionError>;
     /// The state in which one front sees another. `None` if it doesn't know the other front, or if its view was not read yet.
     fn state(&self, viewer: usize, viewed: usize) -> Option<MemberState>;
     /// A front's estimate of how well it is connected. `None` if it has none, or if it was not read yet.
--- a/crates/fault-simulation/src/lib.rs
+++ b/crates/fault-simulation/src/lib.rs
@@ -21,10 +21,10 @@
 pub use event_queue::EventQueue;
 pub use network_conditions::{Link, LinkFilter, NetworkConditions};
 pub use process_state::ProcessState;
-pub use runner::{play, CaseResult, ClaimResult};
+pub use runner::{run_case, CaseResult, ClaimResult};
 pub use scenario::{
-    parse, Action, Build, Case, CaseStep, Claim, DelayRange, DiskState, Fronts, HostAction,
-    TimeBound, CASES,
+    parse_case, Build, CaseAction, CaseStep, Claim, DelayRange, DiskState, FleetCase, FrontSet,
+    HostAction, TimeBound, BUILT_IN_CASES,
 };
 pub use simulated_network::{
     front_name, front_number, member_config, Accusation, ChangeRecord, HealthRecord, SentDatagram,
--- a/crates/fault-simulation/src/network_conditions.rs
+++ b/crates/fault-simulation/src/network_conditions.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::scenario::{Action, DelayRange, Fronts};
+use crate::scenario::{CaseAction, DelayRange, FrontSet};
 use crate::NANOSECONDS_PER_SECOND;
 use crankpaddle_time::Time;
 use std::collections::HashMap;
@@ -27,9 +27,9 @@
 /// The faults of a network and its delay and bandwidth, at the current time of a case.
 pub struct NetworkConditions {
     /// Probability from 0 to 1 that a datagram is lost.
-    pub loss: f64,
+    pub loss_rate: f64,
     /// Probability from 0 to 1 that a datagram which is not lost arrives twice.
-    pub duplicated: f64,
+    pub duplication_rate: f64,
     /// Range from which the transit time of each datagram is drawn.
     pub delay: DelayRange,
     /// Bandwidth of each link, in bytes per second; infinite if there is no limit.
@@ -51,8 +51,8 @@
 }
 
 impl BlockedLinks {
-    fn new(from: &Fronts, to: &Fronts, fleet_size: usize) -> BlockedLinks {
-        let membership = |fronts: &Fronts| {
+    fn new(from: &FrontSet, to: &FrontSet, fleet_size: usize) -> BlockedLinks {
+        let membership = |fronts: &FrontSet| {
             (0..fleet_size)
                 .map(|front| fronts.contains(front, fleet_size))
                 .collect()
@@ -73,10 +73,10 @@
 impl NetworkConditions {
     /// A network without faults, limits or partitions, with transit times from this range.
     #[must_use]
-    pub fn good(delay: DelayRange) -> NetworkConditions {
+    pub fn without_faults(delay: DelayRange) -> NetworkConditions {
         NetworkConditions {
-            loss: 0.0,
-            duplicated: 0.0,
+            loss_rate: 0.0,
+            duplication_rate: 0.0,
             delay,
             bandwidth: f64::INFINITY,
             link_filter: Box::new(|_| true),
@@ -88,20 +88,20 @@
 
     /// Carries out an action on the network between `fleet_size` fronts; actions on fronts and hosts are ignored.
     /// `default_delay` is the transit time if the case states none.
-    pub fn act(&mut self, action: &Action, fleet_size: usize, default_delay: DelayRange) {
+    pub fn act(&mut self, action: &CaseAction, fleet_size: usize, default_delay: DelayRange) {
         match action {
-            Action::SetNetwork {
+            CaseAction::SetNetwork {
                 loss,
                 duplicated,
                 delay,
                 bandwidth,
             } => {
-                self.loss = *loss;
-                self.duplicated = *duplicated;
+                self.loss_rate = *loss;
+                self.duplication_rate = *duplicated;
                 self.bandwidth = *bandwidth;
                 self.delay = delay.unwrap_or(default_delay);
             }
-            Action::Partition {
+            CaseAction::Partition {
                 from,
                 to,
                 both_ways,
@@ -116,12 +116,12 @@
                 self.link_filter =
                     Box::new(move |link| !blocked_links.iter().any(|blocked| blocked.blocks(link)));
             }
-            Action::Heal => {
+            CaseAction::Heal => {
                 self.blocked_links.clear();
                 self.link_filter = Box::new(|_| true);
             }
-            Action::Flood { fronts, copies } => {
-                for front in fronts.of(fleet_size) {
+            CaseAction::Flood { fronts, copies } => {
+                for front in fronts.members(fleet_size) {
                     self.floods.insert(front, *copies);
                 }
             }
@@ -143,13 +143,14 @@
         }
         let copies_sent = self.floods.get(&link.from).copied().unwrap_or(1);
         for _ in 0..copies_sent {
-            if rng.rand_float() < self.loss {
+            if rng.rand_float() < self.loss_rate {
                 continue;
             }
             let Some(departure) = self.departure(now, link, bytes) else {
                 continue;
             };
-            let is_duplicated = self.duplicated > 0.0 && rng.rand_float() < self.duplicated;
+            let is_duplicated =
+                self.duplication_rate > 0.0 && rng.rand_float() < self.duplication_rate;
             let copies = if is_duplicated { 2 } else { 1 };
             for _ in 0..copies {
                 arrivals.push(departure + self.delay.draw(rng));
--- a/crates/fault-simulation/src/network_conditions/tests.rs
+++ b/crates/fault-simulation/src/network_conditions/tests.rs
@@ -17,7 +17,7 @@
     let mut rng = oorandom::Rand64::new(1);
     let mut conditions = NetworkConditions {
         bandwidth: 1000.0,
-        ..NetworkConditions::good(NO_DELAY)
+        ..NetworkConditions::without_faults(NO_DELAY)
     };
     let arrivals: Vec<Vec<Time>> = (0..4)
         .map(|_| conditions.arrivals(Time(0), Link { from: 0, to: 1 }, 500, &mut rng))
@@ -41,9 +41,9 @@
 fn datagrams_are_lost_duplicated_flooded_and_filtered_as_configured() {
     let mut rng = oorandom::Rand64::new(1);
     let mut conditions = NetworkConditions {
-        loss: 0.3,
-        duplicated: 0.5,
-        ..NetworkConditions::good(SHORT_DELAY)
+        loss_rate: 0.3,
+        duplication_rate: 0.5,
+        ..NetworkConditions::without_faults(SHORT_DELAY)
     };
     let arrivals: Vec<Time> = (0..10_000)
         .flat_map(|_| conditions.arrivals(Time(0), Link { from: 0, to: 1 }, 1, &mut rng))
@@ -56,7 +56,7 @@
     assert!(arrivals.iter().all(|at| (Time(1)..=Time(9)).contains(at)));
     let mut conditions = NetworkConditions {
         floods: [(3, 50)].into(),
-        ..NetworkConditions::good(SHORT_DELAY)
+        ..NetworkConditions::without_faults(SHORT_DELAY)
     };
     assert_eq!(
         conditions
--- a/crates/fault-simulation/src/runner.rs
+++ b/crates/fault-simulation/src/runner.rs
@@ -3,15 +3,15 @@
 
 use crate::cluster::{Cluster, SendRate};
 use crate::error::ActionError;
-use crate::scenario::{Case, CaseStep};
+use crate::scenario::{CaseStep, FleetCase};
 
 /// The result of one checked claim.
 #[derive(Clone, Debug)]
 pub struct ClaimResult {
     /// The text of the claim, with its time limit if it has one.
-    pub claim: String,
+    pub description: String,
     /// The measurement as text, for example the time after which the claim held.
-    pub measured: String,
+    pub measurement: String,
     /// Whether the measurement is within the claim's limits.
     pub holds: bool,
 }
@@ -22,7 +22,7 @@
     /// The results of the claims, in the order in which they were checked.
     pub claims: Vec<ClaimResult>,
     /// The highest send rate of any front, where each rate is the average over the whole case.
-    pub sent: SendRate,
+    pub max_send_rate: SendRate,
 }
 
 impl CaseResult {
@@ -38,7 +38,10 @@
 ///
 /// # Errors
 /// An action of the case can't be carried out on this cluster.
-pub fn play<C: Cluster + ?Sized>(case: &Case, cluster: &mut C) -> Result<CaseResult, ActionError> {
+pub fn run_case<C: Cluster + ?Sized>(
+    case: &FleetCase,
+    cluster: &mut C,
+) -> Result<CaseResult, ActionError> {
     let mut claims = Vec::new();
     let mut measured_since = cluster.now();
     for step in &case.steps {
@@ -53,6 +56,6 @@
     }
     Ok(CaseResult {
         claims,
-        sent: cluster.sent(),
+        max_send_rate: cluster.sent(),
     })
 }
--- a/crates/fault-simulation/src/runner/checks.rs
+++ b/crates/fault-simulation/src/runner/checks.rs
@@ -1,7 +1,7 @@
 //! Checks the claims of a case against the state of the cluster, one method for each kind of claim.
 use super::ClaimResult;
 use crate::cluster::{all_see, Cluster, MemberTransition};
-use crate::scenario::{Claim, Fronts, TimeBound};
+use crate::scenario::{Claim, FrontSet, TimeBound};
 use crate::seconds;
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::Time;
@@ -84,13 +84,13 @@
 
     fn members_seen_as(
         &mut self,
-        viewers: &Fronts,
-        viewed: &Fronts,
+        viewers: &FrontSet,
+        viewed: &FrontSet,
         state: MemberState,
         bound: TimeBound,
     ) -> ClaimResult {
-        let viewers = viewers.of(self.fleet_size);
-        let viewed = viewed.of(self.fleet_size);
+        let viewers = viewers.members(self.fleet_size);
+        let viewed = viewed.members(self.fleet_size);
         let from = self.cluster.now();
         let elapsed = self.wait_until(bound, |cluster| all_see(cluster, &viewers, &viewed, state));
         let is_relevant = |transition: &MemberTransition| {
@@ -108,8 +108,8 @@
 
     fn false_accusations(
         &self,
-        accusers: &Fronts,
-        except: &Fronts,
+        accusers: &FrontSet,
+        except: &FrontSet,
         max_accusations: u32,
         max_accusations_per_front: f64,
     ) -> ClaimResult {
@@ -123,19 +123,19 @@
         let max_accusations =
             f64::from(max_accusations) + max_accusations_per_front * self.fleet_size as f64;
         ClaimResult {
-            claim: self.name.to_owned(),
-            measured: format!("{count} accusations"),
+            description: self.name.to_owned(),
+            measurement: format!("{count} accusations"),
             holds: count as f64 <= max_accusations,
         }
     }
 
     fn local_health(
         &mut self,
-        fronts: &Fronts,
+        fronts: &FrontSet,
         health: LocalHealth,
         bound: TimeBound,
     ) -> ClaimResult {
-        let fronts = fronts.of(self.fleet_size);
+        let fronts = fronts.members(self.fleet_size);
         let elapsed = self.wait_until(bound, |cluster| {
             fronts
                 .iter()
@@ -146,12 +146,12 @@
 
     fn restarts_seen(
         &mut self,
-        viewers: &Fronts,
-        restarted: &Fronts,
+        viewers: &FrontSet,
+        restarted: &FrontSet,
         bound: TimeBound,
     ) -> ClaimResult {
-        let viewers = viewers.of(self.fleet_size);
-        let restarted = restarted.of(self.fleet_size);
+        let viewers = viewers.members(self.fleet_size);
+        let restarted = restarted.members(self.fleet_size);
         let measured_since = self.measured_since;
         let elapsed = self.wait_until(bound, |cluster| {
             let seen: BTreeSet<(usize, usize)> = cluster
@@ -242,8 +242,8 @@
         let bound = bound.for_fleet(self.fleet_size);
         let time = elapsed.map_or("never".to_owned(), display_seconds);
         ClaimResult {
-            claim: format!("{} within {}", self.name, display_seconds(bound)),
-            measured: time + detail,
+            description: format!("{} within {}", self.name, display_seconds(bound)),
+            measurement: time + detail,
             holds: elapsed.is_some_and(|elapsed| elapsed <= bound),
         }
     }
--- a/crates/fault-simulation/src/scenario.rs
+++ b/crates/fault-simulation/src/scenario.rs
@@ -8,11 +8,11 @@
 #[cfg(test)]
 mod tests;
 
-pub use action::{Action, Build, DelayRange, DiskState, HostAction};
-pub use built_in::CASES;
+pub use action::{Build, CaseAction, DelayRange, DiskState, HostAction};
+pub use built_in::BUILT_IN_CASES;
 pub use claim::{Claim, TimeBound};
-pub use fronts::Fronts;
-pub use parser::parse;
+pub use fronts::FrontSet;
+pub use parser::parse_case;
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CaseStep {
     /// Carries out an action.
-    Action(Action),
+    Action(CaseAction),
     /// Lets this much time pass.
     Run(Duration),
     /// Starts a new measurement: accusations, restarts and recovered sessions count from this time on (`mark`).
@@ -36,15 +36,15 @@
 
 /// A case whose text was read without errors.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Case {
+pub struct FleetCase {
     /// Name by which the case is selected and reported.
     pub name: String,
     /// One line that describes the faults of the case.
     pub description: String,
     /// Fronts that run at the start of the case; by default all.
-    pub first: Fronts,
+    pub initial_fronts: FrontSet,
     /// Seeds in the configuration of all fronts, through which they join the fleet; by default front 0.
-    pub seeds: Fronts,
+    pub seeds: FrontSet,
     /// Actions, pauses and claims, in the order in which they are carried out.
     pub steps: Vec<CaseStep>,
     /// Name of the day script whose traffic and servers the case runs with on real processes; by default `calm`.
@@ -53,19 +53,19 @@
     pub has_disks: bool,
 }
 
-impl Case {
+impl FleetCase {
     /// Whether the case writes entries of the gossip state; only simulated fleets support this so far.
     #[must_use]
     pub fn needs_gossip_state(&self) -> bool {
         self.steps
             .iter()
-            .any(|step| matches!(step, CaseStep::Action(Action::WriteEntry { .. })))
+            .any(|step| matches!(step, CaseStep::Action(CaseAction::WriteEntry { .. })))
     }
 
     /// Whether the case needs real processes with disks, because it asks for them or acts on hosts.
     #[must_use]
     pub fn needs_disks(&self) -> bool {
-        let acts_on_hosts = |step: &CaseStep| matches!(step, CaseStep::Action(Action::Host(_)));
+        let acts_on_hosts = |step: &CaseStep| matches!(step, CaseStep::Action(CaseAction::Host(_)));
         self.has_disks || self.steps.iter().any(acts_on_hosts)
     }
 }
--- a/crates/fault-simulation/src/scenario/action.rs
+++ b/crates/fault-simulation/src/scenario/action.rs
@@ -1,25 +1,25 @@
 //! The actions of a case on fronts, on their hosts and on the network.
-use super::Fronts;
+use super::FrontSet;
 use crankpaddle_time::nanoseconds;
 use std::time::Duration;
 
 /// An action of a case. Names in parentheses are those of the steps in `proto/case.proto`, if they differ from the variant's.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum CaseAction {
     /// Starts those of the fronts that do not run, as new incarnations.
-    Start(Fronts),
+    Start(FrontSet),
     /// Kills the processes of fronts without notice.
-    Kill(Fronts),
+    Kill(FrontSet),
     /// Shuts fronts down gracefully, so that they announce that they leave (`end`).
-    ShutDown(Fronts),
+    ShutDown(FrontSet),
     /// Pauses the processes of fronts; their sockets still buffer datagrams (`stop`).
-    Pause(Fronts),
+    Pause(FrontSet),
     /// Resumes paused processes (`go_on`).
-    Resume(Fronts),
+    Resume(FrontSet),
     /// Kills fronts and starts them again as new incarnations.
     Restart {
         /// The fronts to restart.
-        fronts: Fronts,
+        fronts: FrontSet,
         /// Time between the kill and the start.
         after: Duration,
     },
@@ -37,9 +37,9 @@
     /// Drops everything that is sent from some fronts to others (`cut`).
     Partition {
         /// Fronts whose datagrams are dropped.
-        from: Fronts,
+        from: FrontSet,
         /// Fronts that no longer receive those datagrams.
-        to: Fronts,
+        to: FrontSet,
         /// Whether datagrams in the opposite direction are dropped as well.
         both_ways: bool,
     },
@@ -48,7 +48,7 @@
     /// Sends several copies of each datagram of some fronts.
     Flood {
         /// Fronts whose datagrams are multiplied.
-        fronts: Fronts,
+        fronts: FrontSet,
         /// Number of copies that are sent of each datagram; 1 ends the flood.
         copies: u32,
     },
@@ -62,7 +62,7 @@
     /// Selects the build that fronts run from their next start on; no effect if there is only one build (`runs`).
     SelectBuild {
         /// Fronts that change their build.
-        fronts: Fronts,
+        fronts: FrontSet,
         /// The build to run.
         build: Build,
     },
@@ -83,32 +83,32 @@
     /// Cuts the power of hosts, all at the same moment.
     PowerOff {
         /// Fronts that lose power.
-        fronts: Fronts,
+        fronts: FrontSet,
         /// Servers that lose power.
-        servers: Fronts,
+        servers: FrontSet,
         /// Whether the service that provides the endpoint list loses power.
         list_service: bool,
     },
     /// Restores the power of hosts.
     PowerOn {
         /// Fronts that start, with the contents of their disks.
-        fronts: Fronts,
+        fronts: FrontSet,
         /// Servers that start, without sessions and in slow start.
-        servers: Fronts,
+        servers: FrontSet,
         /// Whether the service that provides the endpoint list starts.
         list_service: bool,
     },
     /// Copies the disks of fronts in their current state, for a later [`DiskState::Outdated`].
-    CopyDisks(Fronts),
+    CopyDisks(FrontSet),
     /// Replaces the disks of fronts that do not run by disks in the given state.
     SetDisks {
         /// Fronts whose disks are replaced.
-        fronts: Fronts,
+        fronts: FrontSet,
         /// The state of the disks at the next start of these fronts.
         state: DiskState,
     },
     /// Makes servers lose the session inventories of their previous incarnations (`lose_books`).
-    LoseSessionInventories(Fronts),
+    LoseSessionInventories(FrontSet),
 }
 
 /// The state in which a front finds its disk when it starts after a power failure.
--- a/crates/fault-simulation/src/scenario/built_in.rs
+++ b/crates/fault-simulation/src/scenario/built_in.rs
@@ -1,7 +1,7 @@
 //! The cases that are compiled into the program.
 
 /// Name and text of each built-in case, in the order in which they are listed.
-pub const CASES: [(&str, &str); 23] = [
+pub const BUILT_IN_CASES: [(&str, &str); 23] = [
     ("calm", include_str!("../../cases/calm.textproto")),
     ("deaths", include_str!("../../cases/deaths.textproto")),
     ("loss", include_str!("../../cases/loss.textproto")),
--- a/crates/fault-simulation/src/scenario/claim.rs
+++ b/crates/fault-simulation/src/scenario/claim.rs
@@ -1,5 +1,5 @@
 //! Claims: conditions that a fleet has to fulfil, most of them within a time limit.
-use super::Fronts;
+use super::FrontSet;
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::nanoseconds;
 use std::time::Duration;
@@ -27,9 +27,9 @@
     /// Each viewer sees each viewed front in the given state (`see`).
     MembersSeenAs {
         /// Fronts whose views are checked.
-        viewers: Fronts,
+        viewers: FrontSet,
         /// Fronts whose state in these views is checked; a front's view of itself does not count.
-        viewed: Fronts,
+        viewed: FrontSet,
         /// The state in which each viewer must see each viewed front.
         state: MemberState,
         /// Time limit, from the check on.
@@ -38,9 +38,9 @@
     /// A limit on how often fronts were wrongly declared dead since the start of the measurement (`accused`).
     FalseAccusations {
         /// Fronts whose declarations count.
-        accusers: Fronts,
+        accusers: FrontSet,
         /// Fronts that are rightly declared dead, so that this does not count.
-        except: Fronts,
+        except: FrontSet,
         /// Number of false accusations allowed, regardless of the fleet's size.
         max_accusations: u32,
         /// Number of false accusations allowed in addition, for each front of the fleet.
@@ -49,7 +49,7 @@
     /// Each of the fronts estimates its own health as given (`stands`).
     LocalHealth {
         /// Fronts whose own health is checked.
-        fronts: Fronts,
+        fronts: FrontSet,
         /// The health that each of the fronts must estimate for itself.
         health: LocalHealth,
         /// Time limit, from the check on.
@@ -58,9 +58,9 @@
     /// Each viewer has seen a new incarnation of each restarted front since the start of the measurement (`news`).
     RestartsSeen {
         /// Fronts whose views are checked.
-        viewers: Fronts,
+        viewers: FrontSet,
         /// Fronts of which a new incarnation has to be seen.
-        restarted: Fronts,
+        restarted: FrontSet,
         /// Time limit, from the check on.
         bound: TimeBound,
     },
--- a/crates/fault-simulation/src/scenario/fronts.rs
+++ b/crates/fault-simulation/src/scenario/fronts.rs
@@ -5,7 +5,7 @@
 
 /// A set of fronts that is defined independently of the size of the fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fronts {
+pub struct FrontSet {
     is_complement: bool, // If true, the set contains the fronts that are in none of the subsets.
     subsets: Vec<Subset>,
 }
@@ -27,7 +27,7 @@
         begin: f64,
         end: f64,
     },
-    Group(Box<Fronts>),
+    Group(Box<FrontSet>),
 }
 
 impl Subset {
@@ -46,7 +46,7 @@
         }
     }
 
-    fn parse(item: &str, groups: &HashMap<String, Fronts>) -> Option<Subset> {
+    fn parse(item: &str, groups: &HashMap<String, FrontSet>) -> Option<Subset> {
         if item == "all" {
             return Some(Subset::All);
         }
@@ -80,11 +80,11 @@
     }
 }
 
-impl Fronts {
+impl FrontSet {
     /// The set of all fronts.
     #[must_use]
-    pub fn all() -> Fronts {
-        Fronts {
+    pub fn all() -> FrontSet {
+        FrontSet {
             is_complement: false,
             subsets: vec![Subset::All],
         }
@@ -102,7 +102,7 @@
 
     /// The numbers of the fronts in the set, in a fleet of this size, in ascending order.
     #[must_use]
-    pub fn of(&self, fleet_size: usize) -> Vec<usize> {
+    pub fn members(&self, fleet_size: usize) -> Vec<usize> {
         (0..fleet_size)
             .filter(|front| self.contains(*front, fleet_size))
             .collect()
@@ -110,8 +110,8 @@
 
     pub(super) fn parse(
         text: &str,
-        groups: &HashMap<String, Fronts>,
-    ) -> Result<Fronts, ParseFrontsError> {
+        groups: &HashMap<String, FrontSet>,
+    ) -> Result<FrontSet, ParseFrontsError> {
         let (is_complement, list) = match text.strip_prefix('!') {
             Some(list) => (true, list),
             None => (false, text),
@@ -128,7 +128,7 @@
                 })?;
             subsets.push(subset);
         }
-        Ok(Fronts {
+        Ok(FrontSet {
             is_complement,
             subsets,
         })
--- a/crates/fault-simulation/src/scenario/parser/actions.rs
+++ b/crates/fault-simulation/src/scenario/parser/actions.rs
@@ -1,16 +1,16 @@
 //! Converts the actions of a case from the generated types of the schema.
 use super::{or_default, schema, Parser, BYTES_PER_KILOBYTE};
-use crate::scenario::{Action, Build, DelayRange, DiskState, HostAction};
+use crate::scenario::{Build, CaseAction, DelayRange, DiskState, HostAction};
 
 impl Parser<'_, '_> {
-    pub(super) fn restart(&mut self, path: &str, raw: &schema::Restart) -> Action {
+    pub(super) fn restart(&mut self, path: &str, raw: &schema::Restart) -> CaseAction {
         let fronts = self.fronts(&format!("{path}.fronts"), &raw.fronts);
         let after = self.time(&format!("{path}.after"), &raw.after);
-        Action::Restart { fronts, after }
+        CaseAction::Restart { fronts, after }
     }
 
-    pub(super) fn set_network(&mut self, path: &str, raw: &schema::Net) -> Action {
-        Action::SetNetwork {
+    pub(super) fn set_network(&mut self, path: &str, raw: &schema::Net) -> CaseAction {
+        CaseAction::SetNetwork {
             loss: self.fraction(&format!("{path}.loss"), raw.loss),
             duplicated: self.fraction(&format!("{path}.doubled"), raw.doubled),
             delay: self.delay(path, raw),
@@ -40,29 +40,29 @@
         self.checks.rate(path, text) * BYTES_PER_KILOBYTE
     }
 
-    pub(super) fn partition(&mut self, path: &str, raw: &schema::Cut) -> Action {
-        Action::Partition {
+    pub(super) fn partition(&mut self, path: &str, raw: &schema::Cut) -> CaseAction {
+        CaseAction::Partition {
             from: self.fronts(&format!("{path}.from"), &raw.from),
             to: self.fronts(&format!("{path}.to"), &raw.to),
             both_ways: !raw.one_way,
         }
     }
 
-    pub(super) fn flood(&mut self, path: &str, raw: &schema::Flood) -> Action {
+    pub(super) fn flood(&mut self, path: &str, raw: &schema::Flood) -> CaseAction {
         let fronts = self.fronts(&format!("{path}.fronts"), &raw.fronts);
         let copies = self
             .checks
             .count(&format!("{path}.times"), raw.times, 1, 1000);
-        Action::Flood { fronts, copies }
+        CaseAction::Flood { fronts, copies }
     }
 
-    pub(super) fn select_build(&mut self, path: &str, raw: &schema::Runs) -> Action {
+    pub(super) fn select_build(&mut self, path: &str, raw: &schema::Runs) -> CaseAction {
         let build = if raw.other {
             Build::Other
         } else {
             Build::First
         };
-        Action::SelectBuild {
+        CaseAction::SelectBuild {
             fronts: self.fronts(&format!("{path}.fronts"), &raw.fronts),
             build,
         }
--- a/crates/fault-simulation/src/scenario/parser/mod.rs
+++ b/crates/fault-simulation/src/scenario/parser/mod.rs
@@ -2,7 +2,7 @@
 mod actions;
 mod claims;
 
-use super::{Action, Case, CaseStep, Fronts, HostAction, TimeBound};
+use super::{CaseAction, CaseStep, FleetCase, FrontSet, HostAction, TimeBound};
 use crankpaddle_textproto::{Checks, Problem};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// The text has problems; all of them are returned, in the order of the text.
-pub fn parse(text: &str) -> Result<Case, Vec<Problem>> {
+pub fn parse_case(text: &str) -> Result<FleetCase, Vec<Problem>> {
     let mut checks = Checks::new(text);
     let raw = checks.parse_message::<schema::Case>(DESCRIPTOR_SET, "crankpaddle.fleet.v1.Case", "");
     let case = raw.map(|raw| {
@@ -37,11 +37,11 @@
 /// because the case is rejected as a whole.
 struct Parser<'c, 't> {
     checks: &'c mut Checks<'t>,
-    groups: HashMap<String, Fronts>,
+    groups: HashMap<String, FrontSet>,
 }
 
 impl Parser<'_, '_> {
-    fn case(&mut self, raw: &schema::Case) -> Case {
+    fn case(&mut self, raw: &schema::Case) -> FleetCase {
         self.checks
             .require(!raw.name.is_empty(), "name", "is missing");
         for (index, group) in raw.group.iter().enumerate() {
@@ -52,10 +52,10 @@
         for (index, step) in raw.step.iter().enumerate() {
             steps.push(self.step(&format!("step[{index}]"), step));
         }
-        Case {
+        FleetCase {
             name: raw.name.clone(),
             description: raw.what.clone(),
-            first: self.fronts("first", or_default(&raw.first, "all")),
+            initial_fronts: self.fronts("first", or_default(&raw.first, "all")),
             seeds: self.fronts("seeds", or_default(&raw.seeds, "0")),
             steps,
             day: or_default(&raw.day, "calm").to_owned(),
@@ -82,40 +82,40 @@
             Raw::News(raw) => return self.restarts_seen(&field_path("news"), raw),
             Raw::Back(raw) => return self.sessions_recovered(&field_path("back"), raw),
             Raw::Holds(raw) => return self.entry_known(&field_path("holds"), raw),
-            Raw::Start(text) => Action::Start(self.fronts(&field_path("start"), text)),
-            Raw::Kill(text) => Action::Kill(self.fronts(&field_path("kill"), text)),
-            Raw::End(text) => Action::ShutDown(self.fronts(&field_path("end"), text)),
-            Raw::Stop(text) => Action::Pause(self.fronts(&field_path("stop"), text)),
-            Raw::GoOn(text) => Action::Resume(self.fronts(&field_path("go_on"), text)),
+            Raw::Start(text) => CaseAction::Start(self.fronts(&field_path("start"), text)),
+            Raw::Kill(text) => CaseAction::Kill(self.fronts(&field_path("kill"), text)),
+            Raw::End(text) => CaseAction::ShutDown(self.fronts(&field_path("end"), text)),
+            Raw::Stop(text) => CaseAction::Pause(self.fronts(&field_path("stop"), text)),
+            Raw::GoOn(text) => CaseAction::Resume(self.fronts(&field_path("go_on"), text)),
             Raw::Restart(raw) => self.restart(&field_path("restart"), raw),
             Raw::Net(raw) => self.set_network(&field_path("net"), raw),
             Raw::Cut(raw) => self.partition(&field_path("cut"), raw),
-            Raw::Heal(_) => Action::Heal,
+            Raw::Heal(_) => CaseAction::Heal,
             Raw::Flood(raw) => self.flood(&field_path("flood"), raw),
-            Raw::Write(front) => Action::WriteEntry {
+            Raw::Write(front) => CaseAction::WriteEntry {
                 front: *front as usize,
             },
             Raw::Runs(raw) => self.select_build(&field_path("runs"), raw),
-            Raw::PowerOff(raw) => Action::Host(self.power_off(&field_path("power_off"), raw)),
-            Raw::PowerOn(raw) => Action::Host(self.power_on(&field_path("power_on"), raw)),
-            Raw::CopyDisks(text) => Action::Host(HostAction::CopyDisks(
+            Raw::PowerOff(raw) => CaseAction::Host(self.power_off(&field_path("power_off"), raw)),
+            Raw::PowerOn(raw) => CaseAction::Host(self.power_on(&field_path("power_on"), raw)),
+            Raw::CopyDisks(text) => CaseAction::Host(HostAction::CopyDisks(
                 self.fronts(&field_path("copy_disks"), text),
             )),
-            Raw::Disk(raw) => Action::Host(self.disk(&field_path("disk"), raw)),
+            Raw::Disk(raw) => CaseAction::Host(self.disk(&field_path("disk"), raw)),
             Raw::LoseBooks(text) => {
                 let servers = self.fronts(&field_path("lose_books"), text);
-                Action::Host(HostAction::LoseSessionInventories(servers))
+                CaseAction::Host(HostAction::LoseSessionInventories(servers))
             }
         };
         CaseStep::Action(action)
     }
 
-    fn fronts(&mut self, path: &str, text: &str) -> Fronts {
-        match Fronts::parse(text, &self.groups) {
+    fn fronts(&mut self, path: &str, text: &str) -> FrontSet {
+        match FrontSet::parse(text, &self.groups) {
             Ok(fronts) => fronts,
             Err(error) => {
                 self.checks.report_problem(path, error.to_string());
-                Fronts::all()
+                FrontSet::all()
             }
         }
     }
--- a/crates/fault-simulation/src/scenario/tests.rs
+++ b/crates/fault-simulation/src/scenario/tests.rs
@@ -1,10 +1,10 @@
-use super::{parse, Action, CaseStep, Fronts, CASES};
+use super::{parse_case, CaseAction, CaseStep, FrontSet, BUILT_IN_CASES};
 use std::collections::HashMap;
 
 #[test]
 fn fronts_are_selected_by_number_range_step_percentage_group_and_exclusion() {
-    let dead = Fronts::parse("0/4,9", &HashMap::new()).unwrap();
-    let groups: HashMap<String, Fronts> = [("dead".to_owned(), dead)].into();
+    let dead = FrontSet::parse("0/4,9", &HashMap::new()).unwrap();
+    let groups: HashMap<String, FrontSet> = [("dead".to_owned(), dead)].into();
     for (text, expected) in [
         ("all", vec![0, 1, 2, 3, 4, 5, 6, 7, 8, 9]),
         ("none", vec![]),
@@ -17,14 +17,14 @@
         ("!dead,1", vec![2, 3, 5, 6, 7]),
     ] {
         assert_eq!(
-            Fronts::parse(text, &groups).unwrap().of(10),
+            FrontSet::parse(text, &groups).unwrap().members(10),
             expected,
             "{text}"
         );
     }
     for invalid in ["", "x", "3/0", "5%-200%", "-", "!!3"] {
         assert!(
-            Fronts::parse(invalid, &groups)
+            FrontSet::parse(invalid, &groups)
                 .unwrap_err()
                 .to_string()
                 .contains("allowed: all"),
@@ -35,8 +35,8 @@
 
 #[test]
 fn the_built_in_cases_are_valid() {
-    for (name, text) in CASES {
-        let case = parse(text).unwrap_or_else(|problems| panic!("{name}: {problems:?}"));
+    for (name, text) in BUILT_IN_CASES {
+        let case = parse_case(text).unwrap_or_else(|problems| panic!("{name}: {problems:?}"));
         assert_eq!(case.name, name);
         assert!(
             case.steps
@@ -50,11 +50,11 @@
 #[test]
 fn a_bandwidth_in_any_unit_is_converted_to_bytes_per_second() {
     for (text, expected) in [("500B/s", 500.0), ("4kB/s", 4000.0)] {
-        let case = parse(&format!(
+        let case = parse_case(&format!(
             "name: \"x\" step {{ net {{ bandwidth: {text:?} }} }}"
         ))
         .unwrap();
-        let CaseStep::Action(Action::SetNetwork { bandwidth, .. }) = case.steps[0] else {
+        let CaseStep::Action(CaseAction::SetNetwork { bandwidth, .. }) = case.steps[0] else {
             panic!("{:?}", case.steps)
         };
         assert!((bandwidth - expected).abs() < 1e-6, "{text}: {bandwidth}");
@@ -63,7 +63,7 @@
 
 #[test]
 fn each_problem_is_reported_with_its_line_and_field() {
-    let (_, valid_text) = CASES[1];
+    let (_, valid_text) = BUILT_IN_CASES[1];
     for (text, replacement, expected) in [
         ("kill: \"dead\"", "kill: \"deaf\"", "names no fronts"),
         ("state: GONE", "", "has no state"),
@@ -76,7 +76,7 @@
         ("claim: \"each death is known to all\"", "", "has no claim"),
     ] {
         assert!(valid_text.contains(text), "{text}");
-        let problems = parse(&valid_text.replacen(text, replacement, 1)).unwrap_err();
+        let problems = parse_case(&valid_text.replacen(text, replacement, 1)).unwrap_err();
         assert!(
             problems
                 .iter()
--- a/crates/fault-simulation/src/simulated_network.rs
+++ b/crates/fault-simulation/src/simulated_network.rs
@@ -11,7 +11,7 @@
 use crate::event_queue::EventQueue;
 use crate::network_conditions::{Link, NetworkConditions};
 use crate::process_state::ProcessState;
-use crate::scenario::Case;
+use crate::scenario::FleetCase;
 use crate::simulated_process::{SentCounts, DEFAULT_DELAY, SIMULATION_START};
 use crankpaddle_membership::{MemberState, Membership, MembershipConfig, MembershipOutput};
 use crankpaddle_time::Time;
@@ -80,7 +80,7 @@
             nodes: Vec::new(),
             changes: Vec::new(),
             health_changes: Vec::new(),
-            conditions: NetworkConditions::good(DEFAULT_DELAY),
+            conditions: NetworkConditions::without_faults(DEFAULT_DELAY),
             is_capturing: false,
             captured: Vec::new(),
             queue: EventQueue::default(),
@@ -104,12 +104,12 @@
 
     /// A fleet of this many fronts with the seeds of a case; fronts that do not run at the start of the case are killed.
     #[must_use]
-    pub fn for_case(case: &Case, fronts: usize, seed: u64) -> SimulatedNetwork {
+    pub fn for_case(case: &FleetCase, fronts: usize, seed: u64) -> SimulatedNetwork {
         let mut network = SimulatedNetwork::new(seed);
-        let seeds = case.seeds.of(fronts);
+        let seeds = case.seeds.members(fronts);
         for number in 0..fronts {
             network.start(member_config(number, &seeds));
-            if !case.first.contains(number, fronts) {
+            if !case.initial_fronts.contains(number, fronts) {
                 network.kill(number);
             }
         }
@@ -187,7 +187,7 @@
             }
             MembershipOutput::MemberChanged(change) => self.changes.push(ChangeRecord {
                 at: self.now,
-                by: number,
+                viewer: number,
                 change,
             }),
             MembershipOutput::LocalHealthChanged(health) => {
@@ -315,7 +315,7 @@
             .iter()
             .filter(|record| record.at >= from && record.change.state == MemberState::Dead)
             .map(|record| Accusation {
-                by: record.by,
+                accuser: record.viewer,
                 accused: record.change.name.clone(),
             })
             .collect()
--- a/crates/fault-simulation/src/simulated_network/processes.rs
+++ b/crates/fault-simulation/src/simulated_network/processes.rs
@@ -94,7 +94,7 @@
         let transition = |record: &ChangeRecord| {
             Some(MemberTransition {
                 at: record.at,
-                viewer: record.by,
+                viewer: record.viewer,
                 viewed: *self.numbers_by_address.get(&record.change.name)?,
                 state: record.change.state,
                 restarted: record.change.restarted,
--- a/crates/fault-simulation/src/simulated_network/records.rs
+++ b/crates/fault-simulation/src/simulated_network/records.rs
@@ -19,7 +19,7 @@
     /// Virtual time of the change.
     pub at: Time,
     /// Number of the member whose view changed.
-    pub by: usize,
+    pub viewer: usize,
     /// The other member's name and its new state.
     pub change: MemberChange,
 }
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Accusation {
     /// Number of the member that declared the other one dead.
-    pub by: usize,
+    pub accuser: usize,
     /// Name of the member that was declared dead.
     pub accused: String,
 }
--- a/crates/fault-simulation/src/simulated_process.rs
+++ b/crates/fault-simulation/src/simulated_process.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{Cluster, EntryAge, MemberTransition, SendRate};
 use crate::error::ActionError;
 use crate::network_conditions::NetworkConditions;
-use crate::scenario::{Action, DelayRange, Fronts, HostAction};
+use crate::scenario::{CaseAction, DelayRange, FrontSet, HostAction};
 use crate::seconds;
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::Time;
@@ -104,7 +104,7 @@
         self.advance(time);
     }
 
-    fn act(&mut self, action: &Action) -> Result<(), ActionError> {
+    fn act(&mut self, action: &CaseAction) -> Result<(), ActionError> {
         carry_out(self, action)
     }
 
@@ -134,48 +134,51 @@
 }
 
 /// Carries out an action on simulated processes.
-fn carry_out<P: SimulatedProcesses>(processes: &mut P, action: &Action) -> Result<(), ActionError> {
+fn carry_out<P: SimulatedProcesses>(
+    processes: &mut P,
+    action: &CaseAction,
+) -> Result<(), ActionError> {
     let count = processes.count();
     match action {
-        Action::Start(fronts) => start(processes, fronts),
-        Action::Kill(fronts) => for_each(processes, fronts, P::kill),
-        Action::ShutDown(fronts) => for_each(processes, fronts, |processes, front| {
+        CaseAction::Start(fronts) => start(processes, fronts),
+        CaseAction::Kill(fronts) => for_each(processes, fronts, P::kill),
+        CaseAction::ShutDown(fronts) => for_each(processes, fronts, |processes, front| {
             processes.leave(front);
             processes.kill(front);
         }),
-        Action::Pause(fronts) => for_each(processes, fronts, P::pause),
-        Action::Resume(fronts) => for_each(processes, fronts, P::resume),
-        Action::Restart { fronts, after } => {
+        CaseAction::Pause(fronts) => for_each(processes, fronts, P::pause),
+        CaseAction::Resume(fronts) => for_each(processes, fronts, P::resume),
+        CaseAction::Restart { fronts, after } => {
             for_each(processes, fronts, P::kill);
             processes.advance(*after);
             for_each(processes, fronts, P::restart);
         }
-        Action::SetNetwork { .. }
-        | Action::Partition { .. }
-        | Action::Heal
-        | Action::Flood { .. } => {
+        CaseAction::SetNetwork { .. }
+        | CaseAction::Partition { .. }
+        | CaseAction::Heal
+        | CaseAction::Flood { .. } => {
             processes.conditions().act(action, count, DEFAULT_DELAY);
         }
-        Action::SelectBuild { .. } => {} // A simulation has only one build.
-        Action::Host(action) => processes.act_on_hosts(action)?,
-        Action::WriteEntry { front } => processes.write_entry(*front)?,
+        CaseAction::SelectBuild { .. } => {} // A simulation has only one build.
+        CaseAction::Host(action) => processes.act_on_hosts(action)?,
+        CaseAction::WriteEntry { front } => processes.write_entry(*front)?,
     }
     Ok(())
 }
 
 fn for_each<P: SimulatedProcesses>(
     processes: &mut P,
-    fronts: &Fronts,
+    fronts: &FrontSet,
     action: impl Fn(&mut P, usize),
 ) {
-    for front in fronts.of(processes.count()) {
+    for front in fronts.members(processes.count()) {
         action(processes, front);
     }
 }
 
 /// Starts the processes that do not run.
-fn start<P: SimulatedProcesses>(processes: &mut P, fronts: &Fronts) {
-    for front in fronts.of(processes.count()) {
+fn start<P: SimulatedProcesses>(processes: &mut P, fronts: &FrontSet) {
+    for front in fronts.members(processes.count()) {
         if !processes.is_running(front) {
             processes.restart(front);
         }
--- a/crates/fault-simulation/tests/claims.rs
+++ b/crates/fault-simulation/tests/claims.rs
@@ -1,7 +1,8 @@
 //! Tests of the claim checks. Each kind of claim is checked on a scripted cluster in which it holds, and on one that differs
 //! only as far as needed for the claim to fail.
 use crankpaddle_fault_simulation::{
-    parse, play, Action, ActionError, Cluster, EntryAge, MemberTransition, SendRate, MS,
+    parse_case, run_case, ActionError, CaseAction, Cluster, EntryAge, MemberTransition, SendRate,
+    MS,
 };
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_time::Time;
@@ -15,7 +16,7 @@
     transitions: Vec<MemberTransition>,
     health_changes: Vec<HealthChange>,
     entries: Vec<KnownEntry>,
-    actions: Vec<Action>,
+    actions: Vec<CaseAction>,
 }
 
 impl Cluster for ScriptedCluster {
@@ -31,7 +32,7 @@
         self.now += time;
     }
 
-    fn act(&mut self, action: &Action) -> Result<(), ActionError> {
+    fn act(&mut self, action: &CaseAction) -> Result<(), ActionError> {
         self.actions.push(action.clone());
         Ok(())
     }
@@ -119,8 +120,8 @@
 fn holds(step: &str, mut cluster: ScriptedCluster) -> bool {
     cluster.fronts = 4;
     let text = format!("name: \"x\" step {{ mark {{}} }} step {{ run: \"1s\" }} step {{ {step} }}");
-    let case = parse(&text).unwrap_or_else(|problems| panic!("{step}: {problems:?}"));
-    let result = play(&case, &mut cluster).unwrap();
+    let case = parse_case(&text).unwrap_or_else(|problems| panic!("{step}: {problems:?}"));
+    let result = run_case(&case, &mut cluster).unwrap();
     let (satisfied, all) = result.satisfied_claims();
     assert_eq!((all, satisfied == 1), (1, result.claims[0].holds));
     result.claims[0].holds
@@ -278,19 +279,19 @@
 fn steps_are_carried_out_in_their_order() {
     let text = r#"name: "x" step { kill: "1" } step { heal {} } step { flood { fronts: "0" times: 3 } }
         step { see { claim: "c" at: "all" of: "all" state: ALIVE bound { within: "1s" } } }"#;
-    let case = parse(text).unwrap();
+    let case = parse_case(text).unwrap();
     let mut cluster = ScriptedCluster {
         fronts: 4,
         ..ScriptedCluster::default()
     };
-    play(&case, &mut cluster).unwrap();
+    run_case(&case, &mut cluster).unwrap();
     assert!(
         matches!(
             cluster.actions[..],
             [
-                Action::Kill(_),
-                Action::Heal,
-                Action::Flood { copies: 3, .. }
+                CaseAction::Kill(_),
+                CaseAction::Heal,
+                CaseAction::Flood { copies: 3, .. }
             ]
         ),
         "{:?}",
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -86,7 +86,7 @@
 fn no_front_is_declared_dead_with_20_percent_loss_and_jitter() {
     for seed in 1..6 {
         let mut network = joined_fleet(40, seed);
-        (network.conditions.loss, network.conditions.delay) = (
+        (network.conditions.loss_rate, network.conditions.delay) = (
             0.2,
             DelayRange {
                 min: 5 * MS,
@@ -121,7 +121,7 @@
         let by_paused_fronts: Vec<_> = network
             .accusations(resumed_at)
             .into_iter()
-            .filter(|accusation| accusation.by < 5)
+            .filter(|accusation| accusation.accuser < 5)
             .collect();
         assert!(
             by_paused_fronts.is_empty(),
@@ -178,7 +178,7 @@
         network
             .accusations(from)
             .iter()
-            .all(|accusation| accusation.by != 0),
+            .all(|accusation| accusation.accuser != 0),
         "an isolated front accuses no other"
     );
     assert_eq!(
@@ -226,7 +226,7 @@
     let false_accusations: Vec<_> = network
         .accusations(from)
         .into_iter()
-        .filter(|accusation| accusation.by == 3 || accusation.accused != front_name(3))
+        .filter(|accusation| accusation.accuser == 3 || accusation.accused != front_name(3))
         .collect();
     assert!(false_accusations.is_empty(), "{false_accusations:?}");
     assert_eq!(
@@ -262,7 +262,7 @@
         let took = network.advance_until(20 * SECOND, |network| {
             let sees_restart = |front: &usize| {
                 network.changes.iter().any(|record| {
-                    record.by == *front
+                    record.viewer == *front
                         && record.change.name == front_name(7)
                         && record.change.restarted
                 })
@@ -353,7 +353,7 @@
         (120, 0.0, 3 * SECOND),
     ] {
         let mut network = joined_fleet(fronts, 11);
-        network.conditions.loss = loss;
+        network.conditions.loss_rate = loss;
         let written_at = network.now;
         network
             .with_member(0, |member, now, _| {
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -25,8 +25,8 @@
 use arrivals::Arrivals;
 pub use cost::Cost;
 use crankpaddle_fault_simulation::{
-    play, Action, ActionError, Build, Case, CaseResult, Cluster, DelayRange, EntryAge, Fronts,
-    MemberTransition, RecoveryProgress, SendRate,
+    run_case, ActionError, Build, CaseAction, CaseResult, Cluster, DelayRange, EntryAge, FleetCase,
+    FrontSet, MemberTransition, RecoveryProgress, SendRate,
 };
 use crankpaddle_membership::{LocalHealth, MemberState};
 use crankpaddle_net::clock;
@@ -123,42 +123,42 @@
         std::thread::sleep(time);
     }
 
-    fn act(&mut self, action: &Action) -> Result<(), ActionError> {
+    fn act(&mut self, action: &CaseAction) -> Result<(), ActionError> {
         let size = self.processes.len();
-        let numbers = |fronts: &Fronts| fronts.of(size);
+        let numbers = |fronts: &FrontSet| fronts.members(size);
         match action {
-            Action::Start(fronts) => self.start(&numbers(fronts)).map_err(ActionError::Io)?,
-            Action::Kill(fronts) => self.kill(&numbers(fronts)).map_err(ActionError::Io)?,
-            Action::ShutDown(fronts) => {
+            CaseAction::Start(fronts) => self.start(&numbers(fronts)).map_err(ActionError::Io)?,
+            CaseAction::Kill(fronts) => self.kill(&numbers(fronts)).map_err(ActionError::Io)?,
+            CaseAction::ShutDown(fronts) => {
                 let faults = self.end(&numbers(fronts)).map_err(ActionError::Io)?;
                 if !faults.is_empty() {
                     return Err(ActionError::Faults(faults));
                 }
             }
-            Action::Pause(fronts) => self.set_stopped(&numbers(fronts), true),
-            Action::Resume(fronts) => self.set_stopped(&numbers(fronts), false),
-            Action::Restart { fronts, after } => {
+            CaseAction::Pause(fronts) => self.set_stopped(&numbers(fronts), true),
+            CaseAction::Resume(fronts) => self.set_stopped(&numbers(fronts), false),
+            CaseAction::Restart { fronts, after } => {
                 let restarted = numbers(fronts);
                 self.kill(&restarted).map_err(ActionError::Io)?;
                 self.run(*after);
                 self.start(&restarted).map_err(ActionError::Io)?;
             }
-            Action::SetNetwork { .. }
-            | Action::Partition { .. }
-            | Action::Heal
-            | Action::Flood { .. } => {
+            CaseAction::SetNetwork { .. }
+            | CaseAction::Partition { .. }
+            | CaseAction::Heal
+            | CaseAction::Flood { .. } => {
                 let action = action.clone();
                 self.network.change(move |net| {
                     net.act(&action, size, DelayRange::NONE);
                 });
             }
-            Action::SelectBuild { fronts, build } => {
+            CaseAction::SelectBuild { fronts, build } => {
                 for front in numbers(fronts) {
                     self.uses_other_build[front] = *build == Build::Other;
                 }
             }
-            Action::Host(action) => self.run_host_action(action).map_err(ActionError::Io)?,
-            Action::WriteEntry { .. } => {
+            CaseAction::Host(action) => self.run_host_action(action).map_err(ActionError::Io)?,
+            CaseAction::WriteEntry { .. } => {
                 let reason =
                     "front processes do not write gossip entries yet; play the case with --virtual";
                 return Err(ActionError::Unsupported(reason.to_owned()));
@@ -222,14 +222,14 @@
 /// A front, a simulated server or the list service could not be started, a file could not be written, or an action of the case
 /// could not be carried out.
 pub fn run(
-    case: &Case,
+    case: &FleetCase,
     scenario: &Scenario,
     options: &FleetCaseOptions,
 ) -> io::Result<FleetCaseOutcome> {
     std::fs::create_dir_all(&options.dir)?;
     let backend = SimulatedBackend::start(scenario, options.seed)?;
     let mut cluster = ProcessCluster::new(case, scenario, options, &backend)?;
-    cluster.start(&case.first.of(cluster.processes.len()))?;
+    cluster.start(&case.initial_fronts.members(cluster.processes.len()))?;
     let (players, membership_poll) = (cluster.players.clone(), cluster.membership_poll.clone());
     let arrivals = Arrivals::start(
         scenario,
@@ -238,7 +238,7 @@
         &players,
         &membership_poll,
     );
-    let played = play(case, &mut cluster).map_err(io::Error::other);
+    let played = run_case(case, &mut cluster).map_err(io::Error::other);
     let mut failures = Vec::new();
     failures.extend(arrivals.stop());
     let all: Vec<usize> = (0..cluster.processes.len()).collect();
@@ -272,7 +272,7 @@
 impl<'a> ProcessCluster<'a> {
     /// Creates the network, players and hosts of a case. No front runs yet.
     fn new(
-        case: &Case,
+        case: &FleetCase,
         scenario: &Scenario,
         options: &'a FleetCaseOptions,
         backend: &'a SimulatedBackend,
@@ -304,7 +304,7 @@
         Ok(ProcessCluster {
             options,
             backend,
-            seeds: case.seeds.of(fronts),
+            seeds: case.seeds.members(fronts),
             key,
             network,
             membership_poll,
--- a/crates/testbed/src/fleet/power.rs
+++ b/crates/testbed/src/fleet/power.rs
@@ -1,7 +1,7 @@
 //! Carries out power losses of the hosts of fronts and servers.
 use super::ProcessCluster;
 use crate::player::LossCounts;
-use crankpaddle_fault_simulation::{Fronts, HostAction};
+use crankpaddle_fault_simulation::{FrontSet, HostAction};
 use std::io;
 
 impl ProcessCluster<'_> {
@@ -28,8 +28,8 @@
                 servers: of_servers,
                 list_service,
             } => self.power_off(
-                &of_fronts.of(fronts),
-                &of_servers.of(servers),
+                &of_fronts.members(fronts),
+                &of_servers.members(servers),
                 *list_service,
             ),
             HostAction::PowerOn {
@@ -37,15 +37,15 @@
                 servers: of_servers,
                 list_service,
             } => self.power_on(
-                &of_fronts.of(fronts),
-                &of_servers.of(servers),
+                &of_fronts.members(fronts),
+                &of_servers.members(servers),
                 *list_service,
             ),
-            HostAction::CopyDisks(of_fronts) => hosts.copy_disks(&of_fronts.of(fronts)),
+            HostAction::CopyDisks(of_fronts) => hosts.copy_disks(&of_fronts.members(fronts)),
             HostAction::SetDisks {
                 fronts: of_fronts,
                 state,
-            } => hosts.set_disks(&of_fronts.of(fronts), *state),
+            } => hosts.set_disks(&of_fronts.members(fronts), *state),
             HostAction::LoseSessionInventories(of_servers) => {
                 self.lose_inventories(of_servers);
                 Ok(())
@@ -77,9 +77,9 @@
         self.start(fronts)
     }
 
-    fn lose_inventories(&self, of_servers: &Fronts) {
+    fn lose_inventories(&self, of_servers: &FrontSet) {
         let servers = self.backend.fleet.servers.len();
-        for id in of_servers.of(servers) {
+        for id in of_servers.members(servers) {
             self.backend.fleet.lose_inventory(id as u32);
         }
     }
--- a/crates/testbed/src/udp_proxy.rs
+++ b/crates/testbed/src/udp_proxy.rs
@@ -94,7 +94,7 @@
             sockets,
             poll,
             front_addresses: vec![None; size],
-            conditions: NetworkConditions::good(DelayRange::NONE),
+            conditions: NetworkConditions::without_faults(DelayRange::NONE),
             rng: oorandom::Rand64::new(u128::from(seed)),
             in_transit: BinaryHeap::new(),
             datagram_count: 0,
