--- a/crates/cli/tests/node_shutdown.rs
+++ b/crates/cli/tests/node_shutdown.rs
@@ -7,8 +7,8 @@
 
 use node_harness::{file, start_node, write_config};
 use platform::{
-    accepted, configuration, is_request, listed_servers, session_of, Directory, DirectoryState,
-    Server, ServerEvent, Viewer,
+    is_request, listed_servers, node_config, ok_response, session_id_of, DirectoryState,
+    ServerEvent, TestDirectory, TestServer, TestViewer,
 };
 use rustix::process::Signal;
 use sending_clients::SendingClients;
@@ -24,20 +24,20 @@
 /// A node with one server, which accepts every set-up.
 struct Platform {
     node: RunningProgram,
-    _directory: Directory,
-    server: JoinHandle<Server>,
+    _directory: TestDirectory,
+    server: JoinHandle<TestServer>,
     stop: Arc<AtomicBool>,
 }
 
 impl Platform {
     fn start(name: &str) -> Platform {
-        let servers = [Server::start(1)];
-        let directory = Directory::start(DirectoryState {
+        let servers = [TestServer::start(1)];
+        let directory = TestDirectory::start(DirectoryState {
             serial: 1,
             servers: listed_servers(&servers),
             fault: None,
         });
-        let mut config = configuration(&servers, &directory);
+        let mut config = node_config(&servers, &directory);
         config["limits"]["sockets"] = 512.into();
         let path = file(name);
         write_config(&path, &config);
@@ -57,7 +57,7 @@
     }
 
     /// Stops the server, so that it accepts no further set-ups. Returns the node and the server.
-    fn stop_server(self) -> (RunningProgram, Server) {
+    fn stop_server(self) -> (RunningProgram, TestServer) {
         self.stop.store(true, Ordering::Relaxed);
         let server = self.server.join().expect("the server's thread ends");
         (self.node, server)
@@ -65,7 +65,7 @@
 }
 
 /// Accepts every set-up until it is stopped; returns the server.
-fn accept_set_ups(server: Server, stop: &AtomicBool) -> Server {
+fn accept_set_ups(server: TestServer, stop: &AtomicBool) -> TestServer {
     while !stop.load(Ordering::Relaxed) {
         let events = server.take_events();
         if events.is_empty() {
@@ -76,7 +76,7 @@
                 continue;
             };
             if is_request(&message, "SETUP") {
-                let answer = accepted(session_of(&message), "described");
+                let answer = ok_response(session_id_of(&message), "described");
                 server.try_send(connection, &answer);
             }
         }
@@ -112,7 +112,7 @@
 #[test]
 fn a_kill_after_the_grace_period_loses_no_set_up_while_a_session_is_active() {
     let mut platform = Platform::start("kill-senders.json");
-    let mut viewer = Viewer::connect(platform.address());
+    let mut viewer = TestViewer::connect(platform.address());
     viewer.start(platform::tag(u64::MAX), "preview", 15_000);
     assert_eq!(viewer.next_message()["verb"], "STARTED");
     let clients = SendingClients::start(20, Duration::from_millis(20), platform.address());
--- a/crates/cli/tests/sending_clients/mod.rs
+++ b/crates/cli/tests/sending_clients/mod.rs
@@ -1,5 +1,5 @@
 //! Clients that send set-ups to a front node at a fixed interval until their connections end, and the outcome of each set-up.
-use crate::platform::set_up;
+use crate::platform::start_message;
 use crankpaddle_node_protocol::Tag;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -189,7 +189,7 @@
     fn send_set_up(&mut self, sent: &AtomicU64) -> Result<(), ConnectionEnd> {
         let number = sent.fetch_add(1, Ordering::Relaxed) + 1;
         let tag = Tag::parse(&format!("{number:016x}")).expect("16 hex digits");
-        self.send(&set_up(tag, "preview", "1500", ""))?;
+        self.send(&start_message(tag, "preview", "1500", ""))?;
         let pending = PendingSetUp {
             sent_at: Instant::now(),
             outlived_crossing_period: false,
--- a/crates/node/examples/platform.rs
+++ b/crates/node/examples/platform.rs
@@ -4,17 +4,18 @@
 mod support;
 use std::io::Write;
 use support::{
-    accepted, configuration, listed_servers, session_of, Directory, DirectoryState, Server,
+    listed_servers, node_config, ok_response, session_id_of, DirectoryState, TestDirectory,
+    TestServer,
 };
 
 fn main() -> std::io::Result<()> {
-    let servers = [Server::start(1)];
-    let directory = Directory::start(DirectoryState {
+    let servers = [TestServer::start(1)];
+    let directory = TestDirectory::start(DirectoryState {
         serial: 1,
         servers: listed_servers(&servers),
         fault: None,
     });
-    let mut config = configuration(&servers, &directory);
+    let mut config = node_config(&servers, &directory);
     config["listen"] = "127.0.0.1:3868".into();
     let [server] = servers;
     let mut out = std::io::stdout();
@@ -26,10 +27,10 @@
             continue;
         };
         let (tag, description) = (
-            session_of(&request),
+            session_id_of(&request),
             format!("made for {}", request.text().unwrap_or_default()),
         );
         eprintln!("set up {tag}");
-        server.send(connection, &accepted(tag, &description));
+        server.send(connection, &ok_response(tag, &description));
     }
 }
--- a/crates/node/tests/adopted_sessions.rs
+++ b/crates/node/tests/adopted_sessions.rs
@@ -8,7 +8,7 @@
     let harness = Harness::start(1);
     let mut viewer = harness.viewer();
     let adoption = |n| {
-        set_up(
+        start_message(
             tag(n),
             PAID,
             "-1",
@@ -17,7 +17,7 @@
     };
     viewer.send_json(&adoption(1));
     viewer.send_json(&adoption(1));
-    viewer.send_json(&set_up(tag(3), PAID, "-1", ";at:s-ffffffff"));
+    viewer.send_json(&start_message(tag(3), PAID, "-1", ";at:s-ffffffff"));
     assert_eq!(
         viewer.echo()["verb"],
         "ECHOED",
@@ -53,14 +53,19 @@
     let harness = Harness::start(1);
     let mut viewer = harness.viewer();
     harness.establish(&mut viewer, tag(9), FREE);
-    let server = Server::start(7);
+    let server = TestServer::start(7);
     let mut listed = listed_servers(&harness.servers);
     listed.extend(listed_servers(std::slice::from_ref(&server)));
     harness
         .directory
         .update(|state| (state.serial, state.servers) = (2, listed));
     harness.directory.wait_for_queries(3);
-    viewer.send_json(&set_up(tag(1), PAID, "-1", &format!(";at:{}", server.name)));
+    viewer.send_json(&start_message(
+        tag(1),
+        PAID,
+        "-1",
+        &format!(";at:{}", server.name),
+    ));
     server.wait_for_connection(); // The node connects to receive the server's updates and releases.
     server.kill();
     let end = viewer.next_message();
--- a/crates/node/tests/events.rs
+++ b/crates/node/tests/events.rs
@@ -262,18 +262,18 @@
     let mut viewer = harness.viewer();
     let server = &harness.servers[0];
     let adoption = format!(";at:{}", server.name);
-    viewer.send_json(&set_up(tag(1), PAID, "-1", &adoption));
+    viewer.send_json(&start_message(tag(1), PAID, "-1", &adoption));
     observed.wait_for_event("adopted");
     let link = server.wait_for_connection();
     server.send(link, &session_update(tag(1), "at_rung", 1.0));
     observed.wait_for_event("updated 0");
     // A set-up that is a retry is established. The server sends an update before its response.
-    let mut retry = set_up(tag(2), FREE, "15000", ";again:1");
+    let mut retry = start_message(tag(2), FREE, "15000", ";again:1");
     retry["opts"]["retry"] = serde_json::json!("1");
     viewer.send_json(&retry);
     let (_, connection, _) = harness.next_set_up();
     server.send(connection, &session_update(tag(2), "link_use", 0.25));
-    server.send(connection, &accepted(tag(2), "x"));
+    server.send(connection, &ok_response(tag(2), "x"));
     observed.wait_for_event("updated 1");
     server.send(connection, &session_update(tag(2), "served", 0.5));
     observed.wait_for_event("updated 1");
--- a/crates/node/tests/faulty_clients.rs
+++ b/crates/node/tests/faulty_clients.rs
@@ -10,7 +10,7 @@
     let (mut honest, mut bad) = (harness.viewer(), harness.viewer());
     honest.start(tag(1), PAID, 15_000);
     let (server, connection, _) = harness.next_set_up();
-    let mut other = set_up(tag(1), FREE, "15000", "");
+    let mut other = start_message(tag(1), FREE, "15000", "");
     other["blob"] = json!("another description");
     bad.send_json(&other);
     assert!(
@@ -21,7 +21,7 @@
     let mut stranger = harness.viewer();
     stranger.finish(tag(1), 16);
     assert_eq!(stranger.next_message()["verb"], "FINISHED");
-    server.send(connection, &accepted(tag(1), "mine"));
+    server.send(connection, &ok_response(tag(1), "mine"));
     assert_eq!(honest.next_message()["blob"], "mine");
     assert!(
         server
@@ -35,7 +35,7 @@
 #[test]
 fn clients_that_send_no_message_are_closed_and_reach_no_server() {
     let harness = Harness::start(1);
-    let mut long = set_up(tag(1), FREE, "900", "");
+    let mut long = start_message(tag(1), FREE, "900", "");
     long["blob"] = json!("y".repeat(20_000));
     let bad: [(&str, Vec<u8>); 8] = [
         ("noise", vec![0xff; 100]),
@@ -75,15 +75,15 @@
 fn set_ups_that_cannot_be_read_are_rejected_and_reach_no_server() {
     let harness = Harness::start(1);
     for (description, request) in [
-        ("an unknown class", set_up(tag(2), "gold", "900", "")),
-        ("a negative wait", set_up(tag(2), FREE, "-900", "")),
+        ("an unknown class", start_message(tag(2), "gold", "900", "")),
+        ("a negative wait", start_message(tag(2), FREE, "-900", "")),
         (
             "a wait that is too long",
-            set_up(tag(2), FREE, "99999999", ""),
+            start_message(tag(2), FREE, "99999999", ""),
         ),
         (
             "a wait that is not a number",
-            set_up(tag(2), FREE, "soon", ""),
+            start_message(tag(2), FREE, "soon", ""),
         ),
         (
             "a cell that does not exist",
--- a/crates/node/tests/faulty_directory.rs
+++ b/crates/node/tests/faulty_directory.rs
@@ -75,7 +75,7 @@
         servers: listed_servers(&harness.servers[..1]),
         fault: None,
     };
-    let other = Directory::start(state);
+    let other = TestDirectory::start(state);
     let mut config = harness.config.clone();
     config["nameserver"] = json!(other.address.to_string());
     harness
@@ -109,7 +109,7 @@
     .next()
     .expect("the port is free again");
     drop(new);
-    let new = Server::start_at(99, old.address);
+    let new = TestServer::start_at(99, old.address);
     harness.directory.update(|state| {
         (state.serial, state.servers) = (2, listed_servers(std::slice::from_ref(&new)));
     });
@@ -121,7 +121,7 @@
         Some(tag(2)),
         "the new server gets set-ups although the old one failed"
     );
-    new.send(fresh, &accepted(tag(2), "x"));
+    new.send(fresh, &ok_response(tag(2), "x"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
     let _ = connection;
 }
--- a/crates/node/tests/faulty_servers.rs
+++ b/crates/node/tests/faulty_servers.rs
@@ -24,7 +24,7 @@
         let (second, connection, message) = harness.next_set_up();
         assert_ne!(first.name, second.name, "{description}");
         assert_eq!(message.session, Some(tag(1)));
-        second.send(connection, &accepted(tag(1), "good"));
+        second.send(connection, &ok_response(tag(1), "good"));
         assert_eq!(free.next_message()["blob"], "good", "{description}");
         paid.start(tag(2), PAID, 15_000);
         let (server, connection, _) = harness.next_set_up();
@@ -63,7 +63,7 @@
         (&viewer.next_message()["rc"], harness.node.counts().waiting),
         (&json!(41), 1)
     );
-    server.send(second, &accepted(tag(2), "x"));
+    server.send(second, &ok_response(tag(2), "x"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
 }
 
@@ -73,13 +73,13 @@
     let mut viewer = harness.viewer();
     viewer.start(tag(1), PAID, 15_000);
     let (server, connection, _) = harness.next_set_up();
-    server.send(connection, &accepted(tag(77), "not asked for"));
+    server.send(connection, &ok_response(tag(77), "not asked for"));
     let not_text =
         b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 00000000000000aa\r\nContent-Length: 3\r\n\r\n\xff\x00\xfe";
     server.send(connection, not_text); // The body of a response under an unknown id is not checked.
     server.send(connection, &response(200, 9, tag(1), "", "another number"));
-    server.send(connection, &accepted(tag(1), "mine"));
-    server.send(connection, &accepted(tag(1), "a copy"));
+    server.send(connection, &ok_response(tag(1), "mine"));
+    server.send(connection, &ok_response(tag(1), "a copy"));
     assert_eq!(viewer.next_message()["blob"], "mine");
     assert_eq!(viewer.echo()["verb"], "ECHOED", "only one answer is sent");
     let (later, later_connection) = harness.establish(&mut viewer, tag(2), FREE);
@@ -115,7 +115,7 @@
     viewer.start(tag(2), PAID, 15_000);
     let (_, fresh, _) = harness.next_set_up();
     assert_ne!(fresh, connection);
-    server.send(fresh, &accepted(tag(2), "x"));
+    server.send(fresh, &ok_response(tag(2), "x"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
 }
 
@@ -142,7 +142,7 @@
         later, silent,
         "the server may no longer receive anything on the silent link"
     );
-    server.send(later, &accepted(tag(n), "x"));
+    server.send(later, &ok_response(tag(n), "x"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
 }
 
--- a/crates/node/tests/other_deployments.rs
+++ b/crates/node/tests/other_deployments.rs
@@ -28,7 +28,7 @@
     use crankpaddle_node_protocol::config::ReloadError;
     let _worker = lock_worker();
     let (here, there) = (Harness::start(1), other_deployment());
-    let other = Directory::start(DirectoryState {
+    let other = TestDirectory::start(DirectoryState {
         serial: 9,
         servers: Vec::new(),
         fault: None,
@@ -121,7 +121,7 @@
     let (here, there) = (Harness::start(1), other_deployment());
     let assert_rejected = |harness: &Harness, class: &str, tenant: Option<&str>| {
         let mut viewer = harness.viewer();
-        let mut request = set_up(tag(1), class, "900", "");
+        let mut request = start_message(tag(1), class, "900", "");
         tenant
             .into_iter()
             .for_each(|tenant| request["opts"]["tenant"] = json!(tenant));
@@ -139,10 +139,10 @@
         .chain(&there.servers)
         .all(|s| s.take_events().is_empty()));
     let mut viewer = there.viewer();
-    let mut own = set_up(tag(2), "rehearsal", "15000", "");
+    let mut own = start_message(tag(2), "rehearsal", "15000", "");
     own["opts"]["tenant"] = json!("weir-house");
     viewer.send_json(&own);
     let (server, connection, _) = there.next_set_up();
-    server.send(connection, &accepted(tag(2), "described"));
+    server.send(connection, &ok_response(tag(2), "described"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
 }
--- a/crates/node/tests/races_endpoint_list.rs
+++ b/crates/node/tests/races_endpoint_list.rs
@@ -28,7 +28,7 @@
         server.name, harness.servers[1].name,
         "the set-up was not sent before, and is sent to the server that is ready"
     );
-    server.send(connection, &accepted(tag(1), "described"));
+    server.send(connection, &ok_response(tag(1), "described"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
     assert!(!harness.servers[0].has_received_set_up());
     drop(backlog);
@@ -59,7 +59,7 @@
         free.take(1_000_000).any(|free| free),
         "the port is free again"
     );
-    let next = Server::start_at(0x99, address);
+    let next = TestServer::start_at(0x99, address);
     assert_eq!(
         viewer.next_message()["rc"],
         34,
@@ -86,7 +86,7 @@
         &crankpaddle_node_protocol::rtsp::release(tag(1), 16),
     );
     assert_eq!(viewer.next_message()["rc"], 16);
-    let moved = Server::start(1);
+    let moved = TestServer::start(1);
     harness
         .directory
         .update(|state| (state.serial, state.servers[0].address) = (2, moved.address));
@@ -94,7 +94,7 @@
     viewer.start(tag(2), PAID, 15_000);
     let (connection, message) = moved.wait_for_request("SETUP");
     assert_eq!(message.session, Some(tag(2)));
-    moved.send(connection, &accepted(tag(2), "described"));
+    moved.send(connection, &ok_response(tag(2), "described"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
     assert!(!former.has_received_set_up());
 }
@@ -178,7 +178,7 @@
         );
     }
     let listed = listed_servers(&harness.servers);
-    let other = Directory::start(DirectoryState {
+    let other = TestDirectory::start(DirectoryState {
         serial: 3,
         servers: listed[..1].to_vec(),
         fault: None,
--- a/crates/node/tests/races_shutdown.rs
+++ b/crates/node/tests/races_shutdown.rs
@@ -12,7 +12,7 @@
 }
 
 /// Starts a drain and waits until the node rejects new set-ups. Returns when the drain was started.
-fn start_drain(harness: &Harness, viewer: &mut Viewer) -> Instant {
+fn start_drain(harness: &Harness, viewer: &mut TestViewer) -> Instant {
     let since = Instant::now();
     harness.node.drain();
     for n in 1000.. {
@@ -77,7 +77,7 @@
     harness.node.drain();
     sleep_until(since, Duration::from_millis(1500));
     assert!(ended.try_recv().is_err(), "a set-up is unanswered");
-    server.send(connection, &accepted(tag(1), "described"));
+    server.send(connection, &ok_response(tag(1), "described"));
     assert_eq!(waiting.next_message()["verb"], "STARTED");
     server.send(
         connection,
@@ -115,7 +115,7 @@
         server.name, harness.servers[1].name,
         "the first server is draining now"
     );
-    server.send(connection, &accepted(tag(1), "described"));
+    server.send(connection, &ok_response(tag(1), "described"));
     assert_eq!(viewer.next_message()["verb"], "STARTED");
     drop(backlog);
 }
--- a/crates/node/tests/races_viewers.rs
+++ b/crates/node/tests/races_viewers.rs
@@ -17,7 +17,7 @@
 }
 
 /// Makes a viewer leave while the policy decides on its set-up, and asserts that the set-up is not sent.
-fn leave_before_the_first_attempt(leave: impl FnOnce(Viewer) -> Option<Viewer>) {
+fn leave_before_the_first_attempt(leave: impl FnOnce(TestViewer) -> Option<TestViewer>) {
     let _worker = lock_worker();
     let (gate, observer) = Gate::at(is_session_request);
     let harness = Harness::start_observed(1, |_| {}, Some(observer));
@@ -114,7 +114,7 @@
         .update(|state| (state.serial, state.servers[0].address) = (2, address));
     harness.directory.wait_for_queries(3);
     let mut viewer = harness.viewer();
-    let mut long = set_up(tag(1), FREE, "15000", "");
+    let mut long = start_message(tag(1), FREE, "15000", "");
     long["blob"] = json!("y".repeat(14_000));
     viewer.send_json(&long);
     server.set_nonblocking(true).unwrap();
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -9,7 +9,7 @@
     let mut viewer = harness.viewer();
     assert_eq!(viewer.echo()["rc"], 1);
     let blob = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio \u{e9}\r\n";
-    let mut request = set_up(tag(1), FREE, "1500", "");
+    let mut request = start_message(tag(1), FREE, "1500", "");
     request["blob"] = json!(blob);
     viewer.send_json(&request);
     let (server, connection, message) = harness.next_set_up();
@@ -32,7 +32,7 @@
         connection,
         b"RTSP/1.0 100 Trying\r\nCSeq: 1\r\nSession: 0000000000000001\r\nContent-Length: 0\r\n\r\n",
     );
-    server.send(connection, &accepted(tag(1), "made\r\nhere\r\n"));
+    server.send(connection, &ok_response(tag(1), "made\r\nhere\r\n"));
     let answer = viewer.next_message();
     assert_eq!(
         (&answer["verb"], &answer["blob"]),
@@ -58,7 +58,7 @@
     assert_eq!(viewer.next_message()["verb"], "FINISHED");
     let (_, cancel) = server.wait_for_request("TEARDOWN");
     assert_eq!((cancel.session, cancel.cause()), (Some(tag(1)), None));
-    server.send(connection, &accepted(tag(1), "too late"));
+    server.send(connection, &ok_response(tag(1), "too late"));
     let (_, release) = server.wait_for_request("TEARDOWN");
     assert_eq!((release.session, release.cause()), (Some(tag(1)), Some(31)));
     assert_eq!(
@@ -124,7 +124,7 @@
     for (n, cause) in [(1, 31), (2, 16), (3, 41)] {
         viewer.start(tag(n), PAID, 15_000);
         let (server, connection, _) = harness.next_set_up();
-        let mut both = accepted(tag(n), "x").to_vec();
+        let mut both = ok_response(tag(n), "x").to_vec();
         both.extend(crankpaddle_node_protocol::rtsp::release(tag(n), cause));
         server.send(connection, &both);
         if cause == 16 {
@@ -222,7 +222,7 @@
                 Some(tag(1)),
                 "both attempts have the same id"
             );
-            other.send(connection, &accepted(tag(1), "x"));
+            other.send(connection, &ok_response(tag(1), "x"));
             assert_eq!(viewer.next_message()["verb"], "STARTED", "{status}");
         } else {
             let end = viewer.next_message();
@@ -247,7 +247,7 @@
         if class == FREE {
             let (other, connection, _) = harness.next_set_up();
             assert_ne!(other.name, server.name);
-            other.send(connection, &accepted(tag(1), "x"));
+            other.send(connection, &ok_response(tag(1), "x"));
             assert_eq!(viewer.next_message()["verb"], "STARTED");
             // The session may be established at the first server, so it is released there.
             let (_, release) = server.wait_for_request("TEARDOWN");
@@ -262,7 +262,7 @@
             viewer.start(tag(n), class, 15_000);
             let (server, connection, message) = harness.next_set_up();
             assert_eq!(server.name, harness.servers[1].name);
-            server.send(connection, &accepted(session_of(&message), "x"));
+            server.send(connection, &ok_response(session_id_of(&message), "x"));
             assert_eq!(viewer.next_message()["verb"], "STARTED");
         }
     }
@@ -298,7 +298,7 @@
         late.start(tag(3), FREE, 15_000);
         late.next_message()["rc"] == 42
     });
-    server.send(waiting, &accepted(tag(2), "x"));
+    server.send(waiting, &ok_response(tag(2), "x"));
     assert_eq!(
         viewer.next_message()["verb"],
         "STARTED",
--- a/crates/node/tests/support/directory.rs
+++ b/crates/node/tests/support/directory.rs
@@ -1,5 +1,5 @@
 //! A directory for tests.
-use super::{wait, Server};
+use super::{wait, TestServer};
 use hickory_proto::op::{Message as Dns, MessageType, OpCode, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record};
@@ -45,14 +45,14 @@
 }
 
 /// A directory for tests, which answers queries on a thread of its own.
-pub(crate) struct Directory {
+pub(crate) struct TestDirectory {
     pub address: SocketAddr,
     state: Arc<Mutex<DirectoryState>>,
     queries: Arc<AtomicU64>,
 }
 
-impl Directory {
-    pub(crate) fn start(state: DirectoryState) -> Directory {
+impl TestDirectory {
+    pub(crate) fn start(state: DirectoryState) -> TestDirectory {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let address = socket.local_addr().expect("bound");
         let state = Arc::new(Mutex::new(state));
@@ -80,7 +80,7 @@
                 query_count.fetch_add(1, Ordering::AcqRel);
             }
         });
-        Directory {
+        TestDirectory {
             address,
             state,
             queries,
@@ -148,8 +148,8 @@
     message
 }
 
-pub(crate) fn listed_servers(servers: &[Server]) -> Vec<ListedServer> {
-    let line = |s: &Server| ListedServer {
+pub(crate) fn listed_servers(servers: &[TestServer]) -> Vec<ListedServer> {
+    let line = |s: &TestServer| ListedServer {
         name: s.name.clone(),
         address: s.address,
         zone: "east".into(),
--- a/crates/node/tests/support/harness.rs
+++ b/crates/node/tests/support/harness.rs
@@ -1,7 +1,7 @@
 //! A node with the servers and the directory that it needs.
 use super::{
-    accepted, listed_servers, wait, wait_with_description, Directory, DirectoryState, Server,
-    Viewer,
+    listed_servers, ok_response, wait, wait_with_description, DirectoryState, TestDirectory,
+    TestServer, TestViewer,
 };
 use crankpaddle_front::EventObserver;
 use crankpaddle_node::Node;
@@ -14,8 +14,8 @@
 /// A node with test servers and a test directory. Its settings have two classes, [`FREE`] and [`PAID`].
 pub(crate) struct Harness {
     pub node: Arc<Node>,
-    pub servers: Vec<Server>,
-    pub directory: Directory,
+    pub servers: Vec<TestServer>,
+    pub directory: TestDirectory,
     pub config: Value,
 }
 
@@ -39,8 +39,8 @@
 }
 
 /// The configuration of a node that listens on a port chosen by the system.
-pub(crate) fn configuration(servers: &[Server], directory: &Directory) -> Value {
-    let instance = |s: &Server| {
+pub(crate) fn node_config(servers: &[TestServer], directory: &TestDirectory) -> Value {
+    let instance = |s: &TestServer| {
         json!({"instanceId": s.name, "hostPort": s.address.to_string(), "zone": "east", "machineType": "std",
             "cell": 0, "lifecycle": "ready", "weight": 1, "startedAtMs": 0})
     };
@@ -67,13 +67,13 @@
         change: impl FnOnce(&mut Value),
         observer: Option<EventObserver>,
     ) -> Harness {
-        let servers: Vec<Server> = (1..=servers).map(Server::start).collect();
-        let directory = Directory::start(DirectoryState {
+        let servers: Vec<TestServer> = (1..=servers).map(TestServer::start).collect();
+        let directory = TestDirectory::start(DirectoryState {
             serial: 1,
             servers: listed_servers(&servers),
             fault: None,
         });
-        let mut config = configuration(&servers, &directory);
+        let mut config = node_config(&servers, &directory);
         change(&mut config);
         crankpaddle_net::start(Some(1));
         let parsed = Config::parse(config.to_string().as_bytes()).expect("a valid configuration");
@@ -86,12 +86,12 @@
         }
     }
 
-    pub(crate) fn viewer(&self) -> Viewer {
-        Viewer::connect(self.node.address())
+    pub(crate) fn viewer(&self) -> TestViewer {
+        TestViewer::connect(self.node.address())
     }
 
     /// Waits for the next set-up that any server receives. Returns the server, its connection, and the message.
-    pub(crate) fn next_set_up(&self) -> (&Server, usize, Message) {
+    pub(crate) fn next_set_up(&self) -> (&TestServer, usize, Message) {
         let mut found = None;
         wait_with_description(
             || {
@@ -101,7 +101,7 @@
                 )
             },
             || {
-                let take_set_up = |server: &'_ Server| server.try_take_request("SETUP");
+                let take_set_up = |server: &'_ TestServer| server.try_take_request("SETUP");
                 found = self
                     .servers
                     .iter()
@@ -115,11 +115,16 @@
     }
 
     /// Establishes a session: the viewer sends a set-up, and the server that receives it accepts it.
-    pub(crate) fn establish(&self, viewer: &mut Viewer, tag: Tag, class: &str) -> (&Server, usize) {
+    pub(crate) fn establish(
+        &self,
+        viewer: &mut TestViewer,
+        tag: Tag,
+        class: &str,
+    ) -> (&TestServer, usize) {
         viewer.start(tag, class, 15_000);
         let (server, connection, message) = self.next_set_up();
         assert_eq!(message.session, Some(tag));
-        server.send(connection, &accepted(tag, "described"));
+        server.send(connection, &ok_response(tag, "described"));
         assert_eq!(viewer.next_message()["verb"], "STARTED");
         (server, connection)
     }
--- a/crates/node/tests/support/messages.rs
+++ b/crates/node/tests/support/messages.rs
@@ -9,7 +9,7 @@
         .into_bytes()
 }
 
-pub(crate) fn accepted(tag: Tag, body: &str) -> Vec<u8> {
+pub(crate) fn ok_response(tag: Tag, body: &str) -> Vec<u8> {
     response(200, 1, tag, "", body)
 }
 
@@ -21,7 +21,7 @@
     .into_bytes()
 }
 
-pub(crate) fn session_of(message: &Message) -> Tag {
+pub(crate) fn session_id_of(message: &Message) -> Tag {
     message.session.expect("a session")
 }
 
@@ -30,7 +30,7 @@
 }
 
 /// A viewer's set-up request. `left` is the longest wait in milliseconds as text, and `more_extras` is appended to the extras.
-pub(crate) fn set_up(tag: Tag, class: &str, left: &str, more_extras: &str) -> Value {
+pub(crate) fn start_message(tag: Tag, class: &str, left: &str, more_extras: &str) -> Value {
     json!({"verb": "START", "tag": tag.as_str(), "blob": format!("offer {tag}\r\n"), "opts": {"class": class,
         "left": left, "key": "7f3a9c21e0b4d655",
         "extras": format!("home:0;copies:1;top:1;viewer:00000000b4d65521{more_extras}")}})
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -12,18 +12,20 @@
 mod viewer;
 
 pub(crate) use directory::{
-    listed_servers, Directory, DirectoryFault, DirectoryState, ListedServer,
+    listed_servers, DirectoryFault, DirectoryState, ListedServer, TestDirectory,
 };
 pub(crate) use fault_proxy::{FaultProxy, Withheld};
 pub(crate) use gate::Gate;
-pub(crate) use harness::{configuration, fleet_settings, parse_config, Harness, FREE, PAID};
-pub(crate) use messages::{accepted, response, session_of, session_update, set_up, tag};
+pub(crate) use harness::{fleet_settings, node_config, parse_config, Harness, FREE, PAID};
+pub(crate) use messages::{
+    ok_response, response, session_id_of, session_update, start_message, tag,
+};
 pub(crate) use races::{
     connect_to_failed_machine, lock_worker, long_connect_timeout, start_with_one_draining,
     ConnectInProgress,
 };
-pub(crate) use server::{is_request, receive_messages, Server, ServerEvent};
-pub(crate) use viewer::Viewer;
+pub(crate) use server::{is_request, receive_messages, ServerEvent, TestServer};
+pub(crate) use viewer::TestViewer;
 
 use std::time::{Duration, Instant};
 
--- a/crates/node/tests/support/races.rs
+++ b/crates/node/tests/support/races.rs
@@ -1,5 +1,5 @@
 //! Helpers for tests of races. Such tests stop the only worker thread of their process, or simulate a server's machine failure.
-use super::{tag, wait, Harness, Viewer};
+use super::{tag, wait, Harness, TestViewer};
 use serde_json::{json, Value};
 use std::net::TcpStream;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -17,7 +17,7 @@
 
 /// A set-up for which the node is connecting to a server whose machine has failed.
 pub(crate) struct ConnectInProgress {
-    pub(crate) viewer: Viewer,
+    pub(crate) viewer: TestViewer,
     /// Connections that fill the server's accept queue. They are kept for as long as connects are to get no response.
     pub(crate) backlog: Vec<TcpStream>,
 }
--- a/crates/node/tests/support/server.rs
+++ b/crates/node/tests/support/server.rs
@@ -19,7 +19,7 @@
 }
 
 /// A server for tests, which records what it receives and sends what the test tells it to.
-pub(crate) struct Server {
+pub(crate) struct TestServer {
     pub name: String,
     pub address: SocketAddr,
     connections: Arc<Mutex<Vec<TcpStream>>>,
@@ -41,12 +41,12 @@
     is_parked: AtomicBool,
 }
 
-impl Server {
-    pub(crate) fn start(number: u32) -> Server {
-        Server::start_at(number, SocketAddr::from(([127, 0, 0, 1], 0)))
+impl TestServer {
+    pub(crate) fn start(number: u32) -> TestServer {
+        TestServer::start_at(number, SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    pub(crate) fn start_at(number: u32, address: SocketAddr) -> Server {
+    pub(crate) fn start_at(number: u32, address: SocketAddr) -> TestServer {
         let listener = TcpListener::bind(address).expect("a port");
         let address = listener.local_addr().expect("bound");
         let (sender, events) = channel();
@@ -55,7 +55,7 @@
         let (accepted, listener_state) = (connections.clone(), state.clone());
         let thread =
             std::thread::spawn(move || accept(&listener, &accepted, &listener_state, &sender));
-        Server {
+        TestServer {
             name: format!("s-{number:08x}"),
             address,
             connections,
--- a/crates/node/tests/support/viewer.rs
+++ b/crates/node/tests/support/viewer.rs
@@ -1,5 +1,5 @@
 //! A viewer for tests.
-use super::{set_up, TEST_TIMEOUT};
+use super::{start_message, TEST_TIMEOUT};
 use crankpaddle_node_protocol::Tag;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, ErrorKind, Write};
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 /// The connection of a viewer for tests.
-pub(crate) struct Viewer {
+pub(crate) struct TestViewer {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
-impl Viewer {
-    pub(crate) fn connect(address: SocketAddr) -> Viewer {
+impl TestViewer {
+    pub(crate) fn connect(address: SocketAddr) -> TestViewer {
         let stream = TcpStream::connect(address).expect("the node listens");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
@@ -22,7 +22,7 @@
             .set_nodelay(true)
             .expect("small lines go out at once");
         let reader = BufReader::new(stream.try_clone().expect("a descriptor"));
-        Viewer { stream, reader }
+        TestViewer { stream, reader }
     }
 
     pub(crate) fn send(&mut self, bytes: &[u8]) {
@@ -38,7 +38,7 @@
     }
 
     pub(crate) fn start(&mut self, tag: Tag, class: &str, max_wait_ms: u64) {
-        self.send_json(&set_up(tag, class, &max_wait_ms.to_string(), ""));
+        self.send_json(&start_message(tag, class, &max_wait_ms.to_string(), ""));
     }
 
     pub(crate) fn finish(&mut self, tag: Tag, cause: u16) {
--- a/crates/node/tests/undelivered.rs
+++ b/crates/node/tests/undelivered.rs
@@ -7,8 +7,8 @@
 /// A node with two sessions on separate connections. A test closes the first connection; the second stays open.
 struct TwoSessions {
     harness: Harness,
-    leaving: Viewer,
-    staying: Viewer,
+    leaving: TestViewer,
+    staying: TestViewer,
     /// The server's connection for the first session.
     link: usize,
 }
@@ -32,7 +32,7 @@
     (sessions, gate)
 }
 
-fn assert_released(viewer: &mut Viewer, session: u64) {
+fn assert_released(viewer: &mut TestViewer, session: u64) {
     let message = viewer.next_message();
     assert_eq!(
         (&message["verb"], &message["tag"]),
@@ -76,7 +76,7 @@
     gate.arm();
     server.send(sessions.link, &session_update(tag(1), "link_use", 0.5));
     gate.wait_until_reached();
-    server.send(link, &accepted(tag(3), "described"));
+    server.send(link, &ok_response(tag(3), "described"));
     drop(viewer);
     gate.open();
     let (_, release) = server.wait_for_request("TEARDOWN");
@@ -90,11 +90,11 @@
     let _worker = lock_worker();
     let harness = Harness::start(1);
     let proxy = FaultProxy::start(harness.node.address(), Withheld::Responses);
-    let mut viewer = Viewer::connect(proxy.address);
+    let mut viewer = TestViewer::connect(proxy.address);
     viewer.start(tag(1), PAID, 15_000);
     let (server, link, _) = harness.next_set_up();
     proxy.withhold();
-    server.send(link, &accepted(tag(1), "described"));
+    server.send(link, &ok_response(tag(1), "described"));
     proxy.wait_for_withheld();
     server.send(link, &rtsp::release(tag(1), 31));
     harness.wait_until_idle();
@@ -117,7 +117,7 @@
     let _worker = lock_worker();
     let harness = Harness::start(1);
     let proxy = FaultProxy::start(harness.node.address(), Withheld::Responses);
-    let (mut behind_proxy, mut direct) = (Viewer::connect(proxy.address), harness.viewer());
+    let (mut behind_proxy, mut direct) = (TestViewer::connect(proxy.address), harness.viewer());
     let (server, link) = harness.establish(&mut behind_proxy, tag(1), FREE);
     harness.establish(&mut direct, tag(2), FREE);
     proxy.withhold();
--- a/crates/node/tests/unusual_deployment.rs
+++ b/crates/node/tests/unusual_deployment.rs
@@ -24,7 +24,7 @@
 
 /// An attempt that a server has not answered.
 struct Outstanding<'a> {
-    server: &'a Server,
+    server: &'a TestServer,
     connection: usize,
     session: Tag,
 }
@@ -58,11 +58,11 @@
     }
 }
 
-fn send_requests(viewer: &mut Viewer) -> Requests {
+fn send_requests(viewer: &mut TestViewer) -> Requests {
     let mut requests = Requests::new();
     for n in 1..=REQUEST_COUNT {
         let class = n as usize % 3;
-        let mut request = set_up(tag(n), CLASSES[class], "8000", "");
+        let mut request = start_message(tag(n), CLASSES[class], "8000", "");
         request["opts"]["tenant"] = json!(format!("t{}", n % 7));
         viewer.send_json(&request);
         let history = RequestHistory {
@@ -76,13 +76,13 @@
 
 /// Takes all set-ups that the servers have received, and asserts that each is allowed by the rules of its class.
 fn take_outstanding_attempts<'a>(
-    servers: &'a [Server],
+    servers: &'a [TestServer],
     requests: &mut Requests,
 ) -> BTreeMap<String, Outstanding<'a>> {
     let mut out = BTreeMap::new();
     for server in servers {
         while let Some((connection, message)) = server.try_take_request("SETUP") {
-            let session = session_of(&message);
+            let session = session_id_of(&message);
             let history = requests
                 .get_mut(session.as_str())
                 .expect("a request that a viewer sent");
@@ -102,7 +102,7 @@
 }
 
 fn assert_attempt_allowed(history: &mut RequestHistory, message: &Message) {
-    let session = session_of(message);
+    let session = session_id_of(message);
     assert!(
         !(history.class == 0 && history.may_have_run),
         "{session} may have run and was sent again"
@@ -125,7 +125,7 @@
 }
 
 /// Sends an echo request and reads all messages before its answer. Returns how many set-ups were answered.
-fn read_answers(viewer: &mut Viewer, requests: &mut Requests) -> u64 {
+fn read_answers(viewer: &mut TestViewer, requests: &mut Requests) -> u64 {
     viewer.send_json(&json!({"verb": "ECHO", "tag": "00000000000000ff", "opts": {}, "rc": 0}));
     let mut answered = 0;
     loop {
@@ -165,7 +165,7 @@
             let answer = match received % 4 {
                 0 => response(453, 1, attempt.session, "", ""),
                 1 => response(500, 1, attempt.session, "", ""),
-                _ => accepted(attempt.session, "described"),
+                _ => ok_response(attempt.session, "described"),
             };
             attempt.server.send(attempt.connection, &answer);
         }
