--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -23,7 +23,7 @@
 fn count_at(problems: &[Problem], line: &str, message: &str) -> usize {
     problems
         .iter()
-        .filter(|problem| problem.line == line_of(line) && problem.message.contains(message))
+        .filter(|problem| problem.line == line_of(line) && problem.what.contains(message))
         .count()
 }
 
@@ -185,7 +185,7 @@
     let messages: Vec<String> = parse("")
         .unwrap_err()
         .iter()
-        .map(|problem| problem.message.clone())
+        .map(|problem| problem.what.clone())
         .collect();
     for section in ["front", "fleet", "ladder", "class", "title"] {
         assert!(
@@ -339,9 +339,7 @@
     ] {
         let found = parse(&text).unwrap_err();
         assert!(
-            found
-                .iter()
-                .any(|problem| problem.message.contains(message)),
+            found.iter().any(|problem| problem.what.contains(message)),
             "{message}: {found:?}"
         );
     }
--- a/crates/fault-simulation/src/scenario.rs
+++ b/crates/fault-simulation/src/scenario.rs
@@ -47,7 +47,7 @@
     pub seeds: FrontSet,
     /// Actions, pauses and claims, in the order in which they are carried out.
     pub steps: Vec<CaseStep>,
-    /// Name of the day script whose traffic and servers the case runs with on real processes; by default `calm`.
+    /// Name of the scenario whose traffic and servers the case runs with on real processes; by default `calm`.
     pub day: String,
     /// Whether fronts have disks and players reconnect with their keys, even if the case has no power failures.
     pub has_disks: bool,
--- a/crates/fault-simulation/src/scenario/tests.rs
+++ b/crates/fault-simulation/src/scenario/tests.rs
@@ -80,7 +80,7 @@
         assert!(
             problems
                 .iter()
-                .any(|problem| problem.message.contains(expected) && problem.line > 1),
+                .any(|problem| problem.what.contains(expected) && problem.line > 1),
             "{text}: {problems:?}"
         );
     }
--- a/crates/testbed/src/script/tests.rs
+++ b/crates/testbed/src/script/tests.rs
@@ -41,7 +41,7 @@
         assert!(
             problems
                 .iter()
-                .any(|problem| problem.message.contains(reported) && problem.line > 1),
+                .any(|problem| problem.what.contains(reported) && problem.line > 1),
             "{from}: {problems:?}"
         );
     }
--- a/crates/textproto/src/checks.rs
+++ b/crates/textproto/src/checks.rs
@@ -11,12 +11,12 @@
     /// The column in characters, starting from 1.
     pub column: usize,
     /// What is wrong and what is allowed. For a problem with a value, it starts with the path of the field.
-    pub message: String,
+    pub what: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}:{}: {}", self.line, self.column, self.message)
+        write!(formatter, "{}:{}: {}", self.line, self.column, self.what)
     }
 }
 
@@ -60,16 +60,12 @@
     }
 
     /// Reports a problem at a byte offset of the text.
-    pub(crate) fn report_problem_at(&mut self, offset: usize, message: String) {
+    pub(crate) fn report_problem_at(&mut self, offset: usize, what: String) {
         let offset = offset.min(self.text.len());
         let before = &self.text[..self.text.floor_char_boundary(offset)];
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
-        self.problems.push(Problem {
-            line,
-            column,
-            message,
-        });
+        self.problems.push(Problem { line, column, what });
     }
 
     /// Reports a problem with a field, unless the field could not be parsed.
