--- a/crates/benchmark/src/account.rs
+++ b/crates/benchmark/src/account.rs
@@ -4,7 +4,7 @@
 use crankpaddle_cross_zone_traffic::budget::{FrontPosition, SharedBudget};
 use crankpaddle_cross_zone_traffic::cross_zone_admission::CrossZoneLimit;
 use crankpaddle_cross_zone_traffic::traffic_controller::{
-    AttemptEnd, AttemptUsage, TrafficClass, TrafficConfig, TrafficController,
+    AttemptEnd, StartedAttempt, TrafficClass, TrafficConfig, TrafficController,
 };
 use crankpaddle_time::Time;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 
 /// The extent of the measurement.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct AccountingPlan {
     /// Number of sessions that are active at the same time.
     pub sessions: u64,
     /// Length of each round in seconds of the simulated clock.
@@ -60,7 +60,7 @@
             },
         ],
         limits: vec![CrossZoneLimit {
-            from: 1,
+            from_zone: 1,
             class: None,
             shared,
         }],
@@ -73,9 +73,9 @@
 }
 
 /// The attempt with this id: two of three are of the class that is not paid, and servers are used in turn.
-fn attempt(id: u64) -> AttemptUsage {
+fn attempt(id: u64) -> StartedAttempt {
     let class = u8::from(!id.is_multiple_of(3));
-    AttemptUsage {
+    StartedAttempt {
         id,
         number: 0,
         server: (id % u64::from(SERVER_COUNT)) as u32,
@@ -99,7 +99,7 @@
 
 /// The simulated sessions of one round, with the accounting or without it.
 struct SessionLoad<'a> {
-    plan: &'a Plan,
+    plan: &'a AccountingPlan,
     /// The accounting; `None` in a round without it.
     controller: Option<&'a mut TrafficController>,
     /// Bytes sent so far, by attempt id.
@@ -108,7 +108,10 @@
 }
 
 impl<'a> SessionLoad<'a> {
-    fn new(plan: &'a Plan, mut controller: Option<&'a mut TrafficController>) -> SessionLoad<'a> {
+    fn new(
+        plan: &'a AccountingPlan,
+        mut controller: Option<&'a mut TrafficController>,
+    ) -> SessionLoad<'a> {
         if let Some(controller) = controller.as_deref_mut() {
             for id in 0..plan.sessions {
                 controller.attempt_started(attempt(id));
@@ -221,7 +224,7 @@
 ///
 /// # Panics
 /// The plan has no rounds.
-pub fn run(plan: &Plan) -> io::Result<String> {
+pub fn run(plan: &AccountingPlan) -> io::Result<String> {
     let pid = std::process::id();
     let mut pairs = Vec::new();
     let mut bytes_per_session = 0.0;
@@ -243,7 +246,7 @@
     Ok(format_table(plan, &pairs, bytes_per_session))
 }
 
-fn format_table(plan: &Plan, pairs: &[RoundPair], bytes_per_session: f64) -> String {
+fn format_table(plan: &AccountingPlan, pairs: &[RoundPair], bytes_per_session: f64) -> String {
     let session_seconds = (plan.sessions * plan.seconds) as f64;
     let ns_per_session_second = |cpu: f64| cpu * 1e9 / session_seconds;
     let rows: [Row<'_>; 5] = [
--- a/crates/benchmark/src/bench/mod.rs
+++ b/crates/benchmark/src/bench/mod.rs
@@ -7,7 +7,7 @@
 use crankpaddle_testbed::list_service::ListService;
 use crankpaddle_testbed::record::Recorder;
 use crankpaddle_testbed::script::{fleet_config, front_block, FLEET};
-use crankpaddle_testbed::server::{Fleet, Layout};
+use crankpaddle_testbed::server::{FleetLayout, SimulatedFleet};
 use load::Clients;
 use report::{median, Comparison, SideResult};
 use std::io;
@@ -26,7 +26,7 @@
 
 /// The programs to measure and the extent of the measurement.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ComparisonPlan {
     /// The program to run, as `EXE front -c FILE` and as `EXE lab relay ADDRESS...`.
     pub exe: PathBuf,
     /// Directory for the front's configuration; created if it does not exist.
@@ -45,7 +45,7 @@
 
 /// The result of a comparison.
 #[derive(Clone, Debug)]
-pub struct Measured {
+pub struct ComparisonResult {
     /// The table, followed by the failures of the front and of the relay.
     pub text: String,
     /// Fraction of set-ups that failed, from 0 to 1: that of the front or of the relay, whichever is larger.
@@ -55,19 +55,19 @@
 /// The stand-in servers, their list service, and the front's configuration.
 struct Environment {
     exe: PathBuf,
-    fleet: Arc<Fleet>,
+    fleet: Arc<SimulatedFleet>,
     _list_service: Arc<ListService>, // Kept so that the service runs as long as the servers.
     configuration: PathBuf,
 }
 
 impl Environment {
-    fn start(plan: &Plan) -> io::Result<Environment> {
+    fn start(plan: &ComparisonPlan) -> io::Result<Environment> {
         std::fs::create_dir_all(&plan.dir)?;
         let text = fleet_config_text(&plan.log);
         let config =
             fleet_config(&text).map_err(|problems| io::Error::other(format!("{problems:?}")))?;
         let config = Arc::new(config);
-        let layout = Layout {
+        let layout = FleetLayout {
             count: 12,
             cores: 64,
             work: Duration::ZERO,
@@ -75,7 +75,7 @@
             segment: SEGMENT_LENGTH,
             seed: 1,
         };
-        let fleet = Fleet::start(config.clone(), &layout, Recorder::default())?;
+        let fleet = SimulatedFleet::start(config.clone(), &layout, Recorder::default())?;
         let list_service = ListService::start_for(&fleet, LIST_CHANGE_DELAY)?;
         let front_config = front_block(
             0,
@@ -133,7 +133,7 @@
 /// # Errors
 /// A process, a stand-in server or the list service could not be started, or the processor time or memory of a process can't be
 /// read.
-pub fn run(plan: &Plan) -> io::Result<Measured> {
+pub fn run(plan: &ComparisonPlan) -> io::Result<ComparisonResult> {
     let environment = Environment::start(plan)?;
     let clients = Clients::new();
     let (mut front, mut relay) = (SideResult::default(), SideResult::default());
@@ -151,7 +151,7 @@
         front_memory,
         relay_memory,
     };
-    Ok(Measured {
+    Ok(ComparisonResult {
         text: report::format_table(plan, &comparison),
         failed,
     })
@@ -159,7 +159,7 @@
 
 /// Measures the throughput of both processes, then their latencies at half the front's median throughput. Returns that rate.
 fn measure_throughput_and_latency(
-    plan: &Plan,
+    plan: &ComparisonPlan,
     environment: &Environment,
     clients: &Clients,
     front: &mut SideResult,
--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -2,13 +2,13 @@
 use super::ladder::LadderSettings;
 use super::ConfigChecker;
 use crate::schema;
-use crankpaddle::{Class, Idempotency, RetryScope};
+use crankpaddle::{Idempotency, RetryScope, SessionClass};
 use std::time::Duration;
 
 /// The classes, indexed by class number.
 pub(super) struct Classes {
     pub(super) names: Vec<String>,
-    pub(super) classes: Vec<Class>,
+    pub(super) classes: Vec<SessionClass>,
     /// Maximum time that a viewer of each class waits for an answer.
     pub(super) max_wait: Vec<Duration>,
 }
@@ -16,7 +16,7 @@
 impl ConfigChecker<'_, '_> {
     pub(super) fn classes(&mut self, raw: &[schema::Class], ladder: &LadderSettings) -> Classes {
         let names: Vec<&str> = raw.iter().map(|class| class.name.as_str()).collect();
-        let names = self.names("class", ".name", &names);
+        let names = self.unique_names("class", ".name", &names);
         let mut classes = Vec::with_capacity(raw.len());
         let mut max_wait = Vec::with_capacity(raw.len());
         for (index, class) in raw.iter().enumerate() {
@@ -32,20 +32,20 @@
         }
     }
 
-    fn class(&mut self, index: usize, class: &schema::Class, rungs: u32) -> Class {
+    fn class(&mut self, index: usize, class: &schema::Class, rungs: u32) -> SessionClass {
         let path = |field: &str| format!("class[{index}].{field}");
         let (idempotency, retry_window) = self.idempotency(index, class);
         let latency_objective = self.time(&path("aim"), class.aim());
         let max_rung = self.count(&path("top"), class.top.unwrap_or(rungs - 1), 0, rungs - 1);
         let min_rung = self.count(&path("floor"), class.floor, 0, max_rung);
-        Class {
+        SessionClass {
             latency_objective,
             idempotency,
             retry_window,
-            priority_weight: self.within(&path("worth"), class.worth(), 1e-9, 1e9),
+            priority_weight: self.number_in_range(&path("worth"), class.worth(), 1e-9, 1e9),
             min_rung: min_rung as u8,
             max_rung: max_rung as u8,
-            rate_factor: self.within(&path("rate_factor"), class.rate_factor(), 1e-3, 1e3),
+            rate_factor: self.number_in_range(&path("rate_factor"), class.rate_factor(), 1e-3, 1e3),
             max_sessions_per_title: class.seats,
             live: class.live,
         }
@@ -65,7 +65,7 @@
             }
             schema::Effect::Unspecified => {
                 let path = format!("class[{index}].effect");
-                self.wrong(&path, "is missing; allowed: FREE, GUARDED, PAID");
+                self.report_problem(&path, "is missing; allowed: FREE, GUARDED, PAID");
                 (Idempotency::AtMostOnce, 0)
             }
         }
@@ -79,7 +79,7 @@
     ) -> Duration {
         let path = format!("class[{index}].give_up");
         let max_wait = self.duration(&path, class.give_up());
-        self.must(
+        self.require(
             max_wait >= latency_objective || class.give_up().is_empty(),
             &path,
             "is under aim: viewers would stop waiting before the latency objective",
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -41,7 +41,7 @@
         config.terms.max_wait,
         [4_000_000_000, 5_000_000_000].map(Duration::from_nanos)
     );
-    assert_eq!(config.limits.message, 65536);
+    assert_eq!(config.limits.max_message_bytes, 65536);
     assert_eq!(config.classes, ["paid-view", "preview"]);
     assert_eq!(config.titles["old-bridge"].first_cell, 2);
     assert_eq!(
@@ -206,7 +206,7 @@
     assert_eq!(
         (
             config.settings.max_attempts,
-            config.limits.message,
+            config.limits.max_message_bytes,
             config.terms.max_retained_keys
         ),
         (3, 65536, 100_000)
@@ -298,7 +298,7 @@
         panic!("{:?}", config.budgets)
     };
     assert_eq!(
-        (limit.from, limit.class, limit.shared.rate_kb),
+        (limit.from_zone, limit.class, limit.shared.rate_kb),
         (1, None, 5000.0)
     );
     assert_eq!(
--- a/crates/daemon/src/attempt_sender.rs
+++ b/crates/daemon/src/attempt_sender.rs
@@ -65,7 +65,7 @@
 
 /// Sends an attempt; its result reaches the event loop as a message.
 pub(crate) fn send(shared: Arc<Shared>, attempt: AttemptId, request: SetUpRequest) {
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         let result = perform(&shared, &request);
         shared.send(EventLoopMessage::SetUpCompleted { attempt, result });
     });
@@ -92,10 +92,10 @@
     let (response, body) = match exchange.response(MAX_RESPONSE_BYTES) {
         Ok(answer) => answer,
         Err(ExchangeError::Closed | ExchangeError::Broken) => return ended(AttemptOutcome::Reset),
-        Err(ExchangeError::Bad(_)) => return ended(AttemptOutcome::ServerError),
+        Err(ExchangeError::Malformed(_)) => return ended(AttemptOutcome::ServerError),
     };
-    if request.handle.answered() && response.keeps_alive() && exchange.is_clean() {
-        let idle_timeout = shared.limits().pool_idle;
+    if request.handle.answered() && response.keeps_alive() && exchange.is_buffer_empty() {
+        let idle_timeout = shared.limits().pool_idle_timeout;
         shared.pool.put(request.address, socket, idle_timeout);
     }
     sessions::parse_set_up_response(&response, &body)
--- a/crates/daemon/src/list_service_client.rs
+++ b/crates/daemon/src/list_service_client.rs
@@ -55,7 +55,7 @@
 
 /// Starts a coroutine that keeps a subscription to the list service until `is_stopped` is set.
 pub(crate) fn follow(shared: Arc<Shared>, is_stopped: Arc<AtomicBool>) {
-    spawn(Stack::Usual, move || {
+    spawn(Stack::Default, move || {
         let mut consecutive_failures = 0u32;
         while !is_stopped.load(Ordering::Acquire) {
             let result = subscribe(&shared);
@@ -83,7 +83,7 @@
         let event = match events.next() {
             Ok(event) => event,
             Err(error) => {
-                if let ExchangeError::Bad(reason) = error {
+                if let ExchangeError::Malformed(reason) = error {
                     tracing::warn!(%reason, "list service stream malformed");
                 }
                 return result;
@@ -109,7 +109,7 @@
     let address = shared.config.list_service;
     let socket = Socket::connect(&address, shared.connect_timeout()).ok()?;
     let socket = Arc::new(socket);
-    let silence_timeout = shared.limits().silence;
+    let silence_timeout = shared.limits().silence_timeout;
     socket.set_expiry(clock::now() + silence_timeout);
     shared.server_sweeper.watch(&socket);
     let request = list::subscribe(&address.to_string(), shared.names.front_name());
--- a/crates/daemon/tests/described/http.rs
+++ b/crates/daemon/tests/described/http.rs
@@ -2,15 +2,15 @@
 use crate::start_harness;
 use crate::support::{wait_until, Harness, FREE, PAID};
 use crate::transcript::{open_params, reason, RecordedPlayer, Transcript};
-use crankpaddle_membership::{Membership, MembershipConfig, Output};
-use crankpaddle_session_api::Version;
+use crankpaddle_membership::{Membership, MembershipConfig, MembershipOutput};
+use crankpaddle_session_api::SessionApiVersion;
 use crankpaddle_time::Time;
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-pub(crate) fn run(version: Version, transcript: &Transcript) {
+pub(crate) fn run(version: SessionApiVersion, transcript: &Transcript) {
     let key = write_key(version);
     report_no_members(&key, transcript);
     let seed = start_member();
@@ -41,7 +41,7 @@
     });
 }
 
-fn write_key(version: Version) -> PathBuf {
+fn write_key(version: SessionApiVersion) -> PathBuf {
     let key = std::env::temp_dir().join(format!(
         "crankpaddle-described-{}-{version:?}",
         std::process::id()
@@ -90,7 +90,7 @@
         }
         membership.expire(now(), &mut outputs);
         for output in outputs {
-            if let Output::Send { address, bytes, .. } = output {
+            if let MembershipOutput::Send { address, bytes, .. } = output {
                 let _ = socket.send_to(&bytes, address); // The protocol tolerates lost datagrams.
             }
         }
@@ -151,7 +151,11 @@
     }
 }
 
-fn fill_connections_and_stop(version: Version, harness: &Harness, transcript: &Transcript) {
+fn fill_connections_and_stop(
+    version: SessionApiVersion,
+    harness: &Harness,
+    transcript: &Transcript,
+) {
     let address = harness.daemon.address();
     let connect = || RecordedPlayer::connect(address, version, transcript);
     let mut player = connect();
@@ -161,7 +165,7 @@
     assert_eq!(transcript.get(address, "/session"), 503);
     drop(others);
     // One request is kept pending, so that the front is still draining while the player is notified of the shutdown.
-    harness.set_modes(|mode| mode.hangs = true);
+    harness.set_faults_on_all(|faults| faults.hangs = true);
     player.send_call("session.open", open_params("kept-waiting", PAID, "clip-01"));
     wait_until("its attempt to arrive at a server", || {
         harness.set_ups_and_bills("kept-waiting").0 == 1
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -32,7 +32,8 @@
 use crate::recovery_queue::RecoveryQueue;
 use crate::timers::{TimerEntry, Timers};
 use crankpaddle::{
-    Action, Class, Event, Idempotency, PlacementPolicy, RequestId, ServerEstimate, Settings, Time,
+    Action, Event, Idempotency, PlacementPolicy, RequestId, ServerEstimate, SessionClass, Settings,
+    Time,
 };
 use crankpaddle_recovery::{ConservativeBound, StagedRecovery};
 use request::{Player, Request, SessionKey};
@@ -148,13 +149,13 @@
 
     /// Number of requests that have no answer yet, including those in the recovery queue.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_requests(&self) -> usize {
         self.waiting_count + self.recovery_queue.len()
     }
 
     /// Number of sessions that play.
     #[must_use]
-    pub fn playing(&self) -> usize {
+    pub fn playing_sessions(&self) -> usize {
         self.playing_count
     }
 
@@ -224,7 +225,7 @@
     }
 
     /// The settings of a class; `None` if it is not configured.
-    fn class_settings(&self, class: u8) -> Option<&Class> {
+    fn class_settings(&self, class: u8) -> Option<&SessionClass> {
         self.settings.classes.get(usize::from(class))
     }
 
--- a/crates/front/src/core/startup_recovery.rs
+++ b/crates/front/src/core/startup_recovery.rs
@@ -43,13 +43,13 @@
 
     /// The current stage of the staged recovery.
     #[must_use]
-    pub fn stage(&self) -> RecoveryStage {
+    pub fn recovery_stage(&self) -> RecoveryStage {
         self.staged_recovery.stage()
     }
 
     /// The state of the staged recovery, with the transitions that it made so far.
     #[must_use]
-    pub fn recovery(&self) -> &StagedRecovery {
+    pub fn staged_recovery(&self) -> &StagedRecovery {
         &self.staged_recovery
     }
 
@@ -85,7 +85,7 @@
     /// this front reject more requests and start fewer attempts.
     fn update_replica_count(&mut self) {
         let known = self.known_fronts.max(self.settings.replica_count);
-        let replica_count = if self.stage() < RecoveryStage::Normal {
+        let replica_count = if self.recovery_stage() < RecoveryStage::Normal {
             self.previous_fronts.at_least(known)
         } else {
             known
@@ -117,7 +117,7 @@
 
     /// Serves the queued requests, once everything that reconciliation found was passed to the core.
     pub(super) fn serve_queued(&mut self, out: &mut Vec<Output>) {
-        if self.stage() < RecoveryStage::PaidOnly {
+        if self.recovery_stage() < RecoveryStage::PaidOnly {
             return;
         }
         for queued in self.recovery_queue.take_all() {
@@ -134,7 +134,7 @@
         match self.staged_recovery.admit(self.now, is_paid) {
             RecoveryAdmission::Serve => RecoveryDecision::Serve,
             RecoveryAdmission::Queue => self.queue_for_recovery(received_open),
-            RecoveryAdmission::RetryLater { after, over } => {
+            RecoveryAdmission::RetryLater { min_delay, spread } => {
                 if self
                     .keys
                     .contains_key(&SessionKey::from(&received_open.open))
@@ -144,8 +144,8 @@
                 }
                 let jitter =
                     jitter(received_open.call.player.0.rotate_left(32) ^ received_open.call.number);
-                let retry_after_ns = nanoseconds(after)
-                    .saturating_add((nanoseconds(over) as f64 * jitter) as u64)
+                let retry_after_ns = nanoseconds(min_delay)
+                    .saturating_add((nanoseconds(spread) as f64 * jitter) as u64)
                     .min(self.settings.max_retry_after);
                 let answer =
                     self.unserved_answer(&received_open.open, retry_after_from_ns(retry_after_ns));
@@ -156,7 +156,7 @@
 
     fn queue_for_recovery(&mut self, received_open: &ReceivedOpen) -> RecoveryDecision {
         let call = received_open.call;
-        let pending = self.waiting();
+        let pending = self.waiting_requests();
         let pending_of_player =
             self.recovery_queue.count_of(call.player) + self.waiting_count_of(call.player);
         let admission = self
--- a/crates/node/src/event_loop/client_requests.rs
+++ b/crates/node/src/event_loop/client_requests.rs
@@ -3,7 +3,7 @@
 use super::wire_time::{from_fractional_milliseconds, from_milliseconds, to_milliseconds};
 use super::{longest_wait, ConnectionId, EventLoop};
 use crate::shared::increment;
-use crankpaddle_front::{Call, Input, OpenRequest, PlayerId, Time};
+use crankpaddle_front::{Input, OpenRequest, PlayerCall, PlayerId, Time};
 use crankpaddle_net::{clock, CloseReason};
 use crankpaddle_node_protocol::viewers::{self, cause, InvalidField, Message, SetUpParams};
 use crankpaddle_node_protocol::Tag;
@@ -36,7 +36,7 @@
     fn handle_set_up(
         &mut self,
         connection: ConnectionId,
-        set_up: &viewers::SetUp,
+        set_up: &viewers::ViewerSetUp,
         received_at: Time,
     ) {
         if self.is_closed_here(connection) {
@@ -86,7 +86,7 @@
     fn reject_invalid(
         &mut self,
         connection: ConnectionId,
-        set_up: &viewers::SetUp,
+        set_up: &viewers::ViewerSetUp,
         error: InvalidField,
     ) {
         tracing::debug!(session_id = %set_up.tag, field = error.0, opts = ?set_up.opts, "invalid set-up");
@@ -114,7 +114,7 @@
             title: params.title_text,
             state: SessionState::Established,
         });
-        self.notify_core(Input::Adopt {
+        self.notify_core(Input::AdoptSession {
             player,
             open,
             server,
@@ -124,7 +124,7 @@
     fn open_session(
         &mut self,
         connection: ConnectionId,
-        set_up: &viewers::SetUp,
+        set_up: &viewers::ViewerSetUp,
         request: ValidSetUp,
         received_at: Time,
     ) {
@@ -156,9 +156,9 @@
             state: SessionState::AwaitingAnswer { description },
         });
         self.notify_core(Input::Open {
-            call: Call { player, number: 0 },
-            open,
-            received: received_at,
+            call: PlayerCall { player, number: 0 },
+            request: open,
+            received_at,
         });
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Parses the fields of a set-up, and looks up the names of its class and its tenant in the settings.
-    fn validate_set_up(&self, set_up: &viewers::SetUp) -> Result<ValidSetUp, InvalidField> {
+    fn validate_set_up(&self, set_up: &viewers::ViewerSetUp) -> Result<ValidSetUp, InvalidField> {
         let params = set_up.set_up_params()?;
         let open = self.build_open_request(set_up.tag, &params)?;
         Ok(ValidSetUp { params, open })
@@ -257,7 +257,7 @@
     /// Removes a session whose viewer has left it, and reports that to the core.
     pub(super) fn end_session(&mut self, player: PlayerId, reason: RemovalReason) {
         if self.remove_session(player, reason).is_some() {
-            self.notify_core(Input::Leave(player));
+            self.notify_core(Input::PlayerLeft(player));
         }
     }
 
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -3,8 +3,8 @@
 mod common;
 use common::{intent, key, put_intent, recovered_entries};
 use crankpaddle_recovery::{IntentOutcome, PreviousShutdown, StoreWrite};
-use crankpaddle_store::{Error, QuarantinedFile, Store, StoreWriter, WriteRequest};
-use crankpaddle_testbed::disk::Poor;
+use crankpaddle_store::{QuarantinedFile, Store, StoreError, StoreWriter, WriteRequest};
+use crankpaddle_testbed::disk::FaultyDisk;
 use std::fs;
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -81,7 +81,7 @@
     let first = Store::open(dir.path(), "a").unwrap();
     assert!(matches!(
         Store::open(dir.path(), "a"),
-        Err(Error::Locked { .. })
+        Err(StoreError::Locked { .. })
     ));
     drop(first);
     Store::open(dir.path(), "a").unwrap();
@@ -99,7 +99,7 @@
     let before = files(dir.path());
     assert!(matches!(
         Store::open(dir.path(), "a"),
-        Err(Error::NewerVersion {
+        Err(StoreError::NewerVersion {
             found: 2,
             supported: 1,
             ..
@@ -139,7 +139,7 @@
         fs::write(&file, &bytes).unwrap();
         let opened = Store::open(dir.path(), "a").unwrap();
         if let Some(QuarantinedFile { path, reason }) = opened.quarantined {
-            assert!(matches!(reason, Error::Corrupted { .. }), "{reason}");
+            assert!(matches!(reason, StoreError::Corrupted { .. }), "{reason}");
             assert_eq!(
                 fs::read(&path).unwrap(),
                 bytes,
@@ -183,7 +183,7 @@
     let file = dir.path().join("file");
     fs::write(&file, "").unwrap();
     let error = Store::open(&file.join("store"), "a").unwrap_err();
-    assert!(matches!(error, Error::Disk { .. }), "{error}");
+    assert!(matches!(error, StoreError::Disk { .. }), "{error}");
 }
 
 /// Receives the token of each notified requester, and whether its writes are durable.
@@ -193,7 +193,7 @@
     notifications.recv_timeout(WRITE_TIMEOUT).unwrap()
 }
 
-fn start_writer(disk: &Poor) -> (StoreWriter, Notifications) {
+fn start_writer(disk: &FaultyDisk) -> (StoreWriter, Notifications) {
     let store = Store::open_backend(disk.clone(), "a").unwrap().store;
     let (sender, notifications) = mpsc::channel();
     let writer = StoreWriter::start(store, move |token, result| {
@@ -212,9 +212,9 @@
 
 #[test]
 fn requests_that_arrive_while_the_disk_is_busy_are_committed_together() {
-    let disk = Poor::new();
+    let disk = FaultyDisk::new();
     let (writer, notifications) = start_writer(&disk);
-    disk.slow.store(100, Ordering::Release);
+    disk.sync_delay_ms.store(100, Ordering::Release);
     let before = disk.syncs.load(Ordering::Acquire);
     for number in 0..200 {
         writer.submit(waiting_request(number));
@@ -236,11 +236,11 @@
 
 #[test]
 fn each_requester_is_notified_of_a_full_disk() {
-    let disk = Poor::new();
+    let disk = FaultyDisk::new();
     let (writer, notifications) = start_writer(&disk);
     writer.submit(waiting_request(1));
     assert_eq!(next_notification(&notifications), (1, true));
-    disk.full.store(true, Ordering::Release);
+    disk.is_full.store(true, Ordering::Release);
     for number in 2..30 {
         writer.submit(waiting_request(number));
         assert_eq!(next_notification(&notifications), (number, false));
@@ -250,19 +250,19 @@
 
 #[test]
 fn writes_succeed_again_once_the_disk_has_space_and_durable_ones_are_kept() {
-    let disk = Poor::new();
+    let disk = FaultyDisk::new();
     let mut store = Store::open_backend(disk.clone(), "a").unwrap().store;
     store
         .write(&[put_intent(1, IntentOutcome::InFlight)])
         .unwrap();
-    disk.full.store(true, Ordering::Release);
+    disk.is_full.store(true, Ordering::Release);
     for _ in 0..3 {
         assert!(matches!(
             store.write(&[put_intent(2, IntentOutcome::InFlight)]),
-            Err(Error::Disk { .. })
+            Err(StoreError::Disk { .. })
         ));
     }
-    disk.full.store(false, Ordering::Release);
+    disk.is_full.store(false, Ordering::Release);
     store
         .write(&[put_intent(3, IntentOutcome::InFlight)])
         .unwrap();
--- a/crates/testbed/src/player/client.rs
+++ b/crates/testbed/src/player/client.rs
@@ -4,7 +4,7 @@
 use crankpaddle_net::exchange::HttpExchange;
 use crankpaddle_net::{clock, CloseReason, IdleSweeper, Socket, WriteBuffer};
 use crankpaddle_session_api::client::{self, ClientEvent};
-use crankpaddle_session_api::Version;
+use crankpaddle_session_api::SessionApiVersion;
 use crankpaddle_time::Time;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
@@ -22,7 +22,7 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A WebSocket connection to a front, which speaks the session API.
-pub struct Client {
+pub struct PlayerClient {
     outbox: WriteBuffer,
     context: WebSocketContext,
     /// Messages that were read but not returned yet.
@@ -56,12 +56,12 @@
     }
 }
 
-impl Client {
+impl PlayerClient {
     /// Connects to a front and does the WebSocket handshake. `sweeper` closes the connection at its timeouts.
     ///
     /// # Errors
     /// The front can't be reached or refuses the handshake.
-    pub fn connect(address: &SocketAddr, sweeper: &IdleSweeper) -> io::Result<Client> {
+    pub fn connect(address: &SocketAddr, sweeper: &IdleSweeper) -> io::Result<PlayerClient> {
         let socket = Arc::new(Socket::connect(address, CONNECT_TIMEOUT)?);
         socket.set_expiry(clock::now() + CONNECT_TIMEOUT);
         sweeper.watch(&socket);
@@ -71,7 +71,10 @@
             ("connection", "Upgrade"),
             ("sec-websocket-version", "13"),
             ("sec-websocket-key", &key),
-            ("sec-websocket-protocol", Version::V2.subprotocol()),
+            (
+                "sec-websocket-protocol",
+                SessionApiVersion::V2.subprotocol(),
+            ),
         ];
         let request = head::request("GET", "/session", &address.to_string(), &fields, b"");
         socket.write_all(&request).map_err(|error| error.source)?;
@@ -94,9 +97,12 @@
         let config = WebSocketConfig::default()
             .read_buffer_size(1024)
             .write_buffer_size(0);
-        let context =
-            WebSocketContext::from_partially_read(exchange.into_rest(), Role::Client, Some(config));
-        Ok(Client {
+        let context = WebSocketContext::from_partially_read(
+            exchange.into_unread_bytes(),
+            Role::Client,
+            Some(config),
+        );
+        Ok(PlayerClient {
             outbox: WriteBuffer::new(socket, SEND_BUFFER),
             context,
             ready: VecDeque::new(),
--- a/crates/traffic-report/src/source.rs
+++ b/crates/traffic-report/src/source.rs
@@ -1,7 +1,7 @@
 //! Obtains reports from a running front (`GET /traffic`), or from the file in which a front saves its report.
 use crate::SourceError;
 use crankpaddle_cross_zone_traffic::report::TrafficReport;
-use crankpaddle_http::body::Body;
+use crankpaddle_http::body::BodyDecoder;
 use crankpaddle_http::head::{self, Response};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -18,7 +18,7 @@
 /// # Errors
 /// Fails if the front does not respond within the timeout, or not with a report.
 pub fn fetch(front: &SocketAddr, timeout: Duration) -> Result<TrafficReport, SourceError> {
-    let body = get(front, "/traffic", timeout)?;
+    let body = fetch_path(front, "/traffic", timeout)?;
     Ok(serde_json::from_slice(&body)?)
 }
 
@@ -35,7 +35,11 @@
 ///
 /// # Errors
 /// Fails if the front does not respond within the timeout, or not with status 200.
-pub fn get(front: &SocketAddr, path: &str, timeout: Duration) -> Result<Vec<u8>, SourceError> {
+pub fn fetch_path(
+    front: &SocketAddr,
+    path: &str,
+    timeout: Duration,
+) -> Result<Vec<u8>, SourceError> {
     let response = send_request(front, path, timeout)?;
     parse_body(&response)
 }
@@ -64,7 +68,8 @@
         return Err(SourceError::UnexpectedStatus(response.status));
     }
     let framing = response.framing().map_err(SourceError::InvalidHttp)?;
-    let mut body = Body::new(framing, MAX_RESPONSE_BYTES).map_err(SourceError::InvalidHttp)?;
+    let mut body =
+        BodyDecoder::new(framing, MAX_RESPONSE_BYTES).map_err(SourceError::InvalidHttp)?;
     let mut content = Vec::new();
     body.feed(&bytes[head_length..], &mut content)
         .map_err(SourceError::InvalidHttp)?;
