--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -13,7 +13,7 @@
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
 
-/// The longest datagram, in bytes, chosen so that it passes common links without fragmentation.
+/// The longest datagram, in bytes, so that it passes common links without fragmentation.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The first bytes of every datagram.
 const MAGIC: [u8; 2] = *b"cp";
--- a/crates/testbed/src/script/check.rs
+++ b/crates/testbed/src/script/check.rs
@@ -116,18 +116,7 @@
         fronts: checks.count("fronts", raw.fronts, 1, 200),
         day_length: duration(checks, "length", &raw.length),
     };
-    let mut faults = Vec::new();
-    for (index, fault) in raw.fault.iter().enumerate() {
-        let path = format!("fault[{index}]");
-        faults.push(
-            FaultCheck {
-                checks,
-                path,
-                scope: &scope,
-            }
-            .check(fault),
-        );
-    }
+    let faults = check_faults(checks, &raw.fault, &scope);
     Scenario {
         name: raw.name.clone(),
         length: scope.day_length,
@@ -157,6 +146,26 @@
     }
 }
 
+fn check_faults(
+    checks: &mut Checks<'_>,
+    raw: &[schema::Fault],
+    scope: &FaultScope<'_>,
+) -> Vec<ScheduledFault> {
+    let mut faults = Vec::new();
+    for (index, fault) in raw.iter().enumerate() {
+        let path = format!("fault[{index}]");
+        faults.push(
+            FaultCheck {
+                checks,
+                path,
+                scope,
+            }
+            .check(fault),
+        );
+    }
+    faults
+}
+
 /// The parts of a scenario that a fault may refer to.
 struct FaultScope<'a> {
     zones: &'a [String],
